--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -185,10 +185,10 @@
 		orders:    map[fleet.InstanceID]time.Time{},
 	}
 	l.lease = lease.New(lease.Options{
-		Self:  string(options.Self.ID),
-		TTL:   options.LeaseTTL,
-		Renew: options.LeaseTTL / 4,
-		Guard: options.LeaseTTL / 4,
+		Self:          string(options.Self.ID),
+		TTL:           options.LeaseTTL,
+		RenewInterval: options.LeaseTTL / 4,
+		Guard:         options.LeaseTTL / 4,
 	})
 	l.setKnown(start, nil)
 	l.snapshot.Store(&Snapshot{Made: start})
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -49,11 +49,11 @@
 
 func (e leaseRead) apply(l *Loop, now time.Time) {
 	if e.err != nil {
-		l.lease.Failed()
+		l.lease.StoreUnavailable()
 		return
 	}
 	l.control.epochVersion = e.epochVersion
-	l.lease.Read(now, e.row, e.version)
+	l.lease.ReadDone(now, e.row, e.version)
 }
 
 // leaseWritten is the outcome of an acquisition, renewal or release.
@@ -89,10 +89,10 @@
 		return
 	}
 	if e.err != nil {
-		l.lease.Failed()
+		l.lease.StoreUnavailable()
 		return
 	}
-	l.lease.Written(e.asked, e.action.Row, e.outcome.Version, e.outcome.Committed)
+	l.lease.WriteDone(e.asked, e.action.Row, e.outcome.Version, e.outcome.Committed)
 	if e.outcome.Committed && e.action.Kind == lease.ActionAcquire {
 		l.control.epochVersion = e.outcome.Version
 		l.log.Info("acquired the lease", "epoch", e.action.Row.Epoch)
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -65,5 +65,5 @@
 	}
 	l.intervals, times = scaled(l.options.Intervals, times, nodes, len(l.watches))
 	l.tracker.SetTimes(times)
-	l.lease.SetLook(l.intervals.Head)
+	l.lease.SetReadInterval(l.intervals.Head)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -139,26 +139,26 @@
 	})
 	store.answered = e.gossip.StoreAnswered
 	e.controller = groupcontrol.New(groupcontrol.Options{
-		Node:        life,
-		Address:     s.Peers,
-		DataCentre:  s.DataCentre,
-		DataCentres: s.DataCentres,
-		Unpaced:     func() bool { return s.FirstStart && !e.relay.Seen() && !e.gossip.HeardRequests() },
-		HolderLives: e.gossip.ControllerAlive,
-		HolderKnown: func(row lease.Row) { e.gossip.LearnHolder(row, s.DataCentre) },
-		Rank:        e.gossip.Rank,
-		FirstLook:   s.firstLook(),
-		EarlierLife: func(holder string) bool { return holder != life && strings.HasPrefix(holder, s.Node+lifeMark) },
-		Now:         e.clock.Now,
-		Demand:      e.gossip.ControlDemand,
-		LastEvent:   e.lastEvent(),
-		Limit:       func(ep *serving.Endpoint) float64 { return e.gossip.Throttle().RateLimit(ep.Incarnation()).PerSecond },
-		Weights:     s.Policy.Groups,
-		LeaseTTL:    s.LeaseTTL,
-		LeaseOutage: s.Policy.LeaseOutage,
-		CallTimeout: 250 * time.Millisecond,
-		Tick:        100 * time.Millisecond,
-		DrainWait:   2500 * time.Millisecond,
+		Node:                 life,
+		Address:              s.Peers,
+		DataCentre:           s.DataCentre,
+		DataCentres:          s.DataCentres,
+		Unpaced:              func() bool { return s.FirstStart && !e.relay.Seen() && !e.gossip.HeardRequests() },
+		HolderAlive:          e.gossip.ControllerAlive,
+		OnHolderRead:         func(row lease.Row) { e.gossip.ObserveHolder(row, s.DataCentre) },
+		Rank:                 e.gossip.Rank,
+		FirstReadDelay:       s.firstLook(),
+		IsEarlierIncarnation: func(holder string) bool { return holder != life && strings.HasPrefix(holder, s.Node+lifeMark) },
+		Now:                  e.clock.Now,
+		Demand:               e.gossip.ControlDemand,
+		LastEvent:            e.lastEvent(),
+		Limit:                func(ep *serving.Endpoint) float64 { return e.gossip.Throttle().RateLimit(ep.Incarnation()).PerSecond },
+		Weights:              s.Policy.Groups,
+		LeaseTTL:             s.LeaseTTL,
+		LeaseOutageExtension: s.Policy.LeaseOutage,
+		CallTimeout:          250 * time.Millisecond,
+		Tick:                 100 * time.Millisecond,
+		DrainWait:            2500 * time.Millisecond,
 	}, e.store, countedEndpoints{a.Endpoints(httpClient(links), e.observe), e.metrics}, e.directory, e.gossip.Suspects)
 	e.gossip.SetController(e.controller)
 	e.directory.SetReports(e.gossip.Reports)
@@ -266,7 +266,7 @@
 		}
 	}
 	controls := 0.0
-	if e.controller.Holds() {
+	if e.controller.HoldsLease() {
 		controls = 1
 	}
 	e.metrics.Set("groups_open", float64(heads))
--- a/internal/entry/settings_test.go
+++ b/internal/entry/settings_test.go
@@ -51,7 +51,7 @@
 	require.Equal(t, health.Suspect, s.Policy.Relay.Failures)
 	require.False(t, s.Policy.Relay.SharedEvents)
 	require.False(t, s.Policy.Relay.ObservedPace)
-	require.False(t, s.Policy.Groups.Corrected)
+	require.False(t, s.Policy.Groups.CorrectForLateness)
 	require.Equal(t, 4, s.Policy.ShareNodes)
 }
 
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -61,7 +61,7 @@
 	g.dirty = true
 	g.applyRelayed(p, m, now)
 	if p.controls && p.dataCentre == g.config.DataCentre {
-		g.controller.HeardController(p.epoch)
+		g.controller.ObserveController(p.epoch)
 		if !m.GetHoldsOver() {
 			g.heardController = now
 		}
@@ -123,7 +123,7 @@
 	m.ConfigurationVersion = version
 	m.Epoch = g.controller.Epoch()
 	m.Controls = m.Epoch != 0
-	m.HoldsOver = g.controller.HoldsOver()
+	m.HoldsOver = g.controller.HoldsPastExpiry()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.Leaving = g.leaving
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -185,10 +185,10 @@
 type Controller interface {
 	// Epoch is that under which this node acts, or zero.
 	Epoch() uint64
-	// HoldsOver reports whether it acts past its lease.
-	HoldsOver() bool
-	// HeardController notes that another node of the data centre acts.
-	HeardController(epoch uint64)
+	// HoldsPastExpiry reports whether the node acts under an expired lease.
+	HoldsPastExpiry() bool
+	// ObserveController records that another node of the data centre acts under an epoch.
+	ObserveController(epoch uint64)
 }
 
 // controls reports whether this node controls its data centre.
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -241,9 +241,9 @@
 // standby is a node that controls nothing.
 type standby struct{}
 
-func (standby) Epoch() uint64          { return 0 }
-func (standby) HoldsOver() bool        { return false }
-func (standby) HeardController(uint64) {}
+func (standby) Epoch() uint64            { return 0 }
+func (standby) HoldsPastExpiry() bool    { return false }
+func (standby) ObserveController(uint64) {}
 
 // Loads are told with the ages of events, and come back as they were.
 func TestLoads_CarryAges(t *testing.T) {
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -85,7 +85,7 @@
 	out := map[directory.Pool]groupcontrol.Demand{}
 	for pool, asked := range g.totalDemand() {
 		judged := asked.InTime + asked.Late
-		out[pool] = groupcontrol.Demand{Groups: asked.Groups, Requests: asked.Requests, InTime: asked.InTime / max(1, judged), Judged: judged}
+		out[pool] = groupcontrol.Demand{Groups: asked.Groups, Requests: asked.Requests, InTime: asked.InTime / max(1, judged), Measured: judged}
 	}
 	return out
 }
--- a/internal/gossip/lookup.go
+++ b/internal/gossip/lookup.go
@@ -61,12 +61,12 @@
 			g.log.Error("a lease cannot be read", "data_centre", string(dataCentre), "version", r.Version, "error", err)
 			continue
 		}
-		g.LearnHolder(row, dataCentre)
+		g.ObserveHolder(row, dataCentre)
 	}
 }
 
-// LearnHolder makes the holder of a lease known.
-func (g *Gossiper) LearnHolder(row lease.Row, dataCentre serving.DataCentre) {
+// ObserveHolder records the holder of a data centre's lease.
+func (g *Gossiper) ObserveHolder(row lease.Row, dataCentre serving.DataCentre) {
 	if row.Released {
 		return
 	}
--- a/internal/groupcontrol/controller.go
+++ b/internal/groupcontrol/controller.go
@@ -104,12 +104,12 @@
 	c.reserved = map[string]reservation{}
 }
 
-// Holds reports whether this node is the controller now.
-func (c *Controller) Holds() bool { return c.Epoch() != 0 }
+// HoldsLease reports whether this node is the controller now.
+func (c *Controller) HoldsLease() bool { return c.Epoch() != 0 }
 
-// HoldsOver reports whether this node acts past its lease, while the store does
-// not answer it.
-func (c *Controller) HoldsOver() bool { return c.lease.holdsOver() }
+// HoldsPastExpiry reports whether this node acts under an expired lease because the store
+// does not answer.
+func (c *Controller) HoldsPastExpiry() bool { return c.lease.holdsOver() }
 
 // Epoch returns the epoch under which this node acts, or zero.
 func (c *Controller) Epoch() uint64 {
@@ -117,9 +117,9 @@
 	return epoch
 }
 
-// HeardController notes that another node of the data centre acts under an
-// epoch; a later one ends a hold past the lease.
-func (c *Controller) HeardController(epoch uint64) {
+// ObserveController records that another node of the data centre acts under an epoch. A
+// later epoch than this node's ends a hold past expiry.
+func (c *Controller) ObserveController(epoch uint64) {
 	c.lease.heardEpoch(epoch)
 	if epoch > c.Epoch() {
 		c.lease.stepDown("another node acts under a later epoch")
@@ -161,7 +161,7 @@
 }
 
 func (c *Controller) keepLease(ctx context.Context) {
-	if pause(ctx, c.options.FirstLook) != nil {
+	if pause(ctx, c.options.FirstReadDelay) != nil {
 		return
 	}
 	ticker := time.NewTicker(c.options.Tick)
--- a/internal/groupcontrol/groupcontrol.go
+++ b/internal/groupcontrol/groupcontrol.go
@@ -49,10 +49,10 @@
 	Groups float64
 	// Requests is how many come a second.
 	Requests float64
-	// InTime is the part of the requests that were served in time lately, and Judged
-	// how many requests that is known of, older ones counting for less.
-	InTime float64
-	Judged float64
+	// InTime is the fraction of requests that were served in time lately, and Measured the
+	// number of requests it is based on, older ones weighted less.
+	InTime   float64
+	Measured float64
 }
 
 // Options of a Controller.
@@ -65,19 +65,19 @@
 	DataCentres int
 	// Unpaced reports whether loads need not be paced: nothing is served yet.
 	Unpaced func() bool
-	// HolderLives reports whether another node that holds the lease spoke
-	// lately; nil means that nobody would know.
-	HolderLives func() bool
-	// HolderKnown is called with the lease as it was read; nil means not at all.
-	HolderKnown func(row lease.Row)
+	// HolderAlive reports whether another node that holds the lease was heard from lately;
+	// nil means that this is unknown.
+	HolderAlive func() bool
+	// OnHolderRead, unless nil, is called with each lease row that is read.
+	OnHolderRead func(row lease.Row)
 	// Rank is this node's place in the order in which those of the data centre
 	// look at a lease whose holder is silent; nil means that it is the first.
 	Rank func() int
-	// FirstLook is how long the node waits before its first look at the lease.
-	FirstLook time.Duration
-	// EarlierLife reports whether a holder of the lease is an earlier incarnation of
-	// this node, which is over; nil means that nobody can tell.
-	EarlierLife func(holder string) bool
+	// FirstReadDelay is how long the node waits before it first reads the lease.
+	FirstReadDelay time.Duration
+	// IsEarlierIncarnation reports whether a holder of the lease is an earlier incarnation
+	// of this node that no longer runs; nil means that this is unknown.
+	IsEarlierIncarnation func(holder string) bool
 	// Now is the clock by which the lease is held, which counts time in which the machine
 	// was suspended; nil means the monotonic clock, which does not.
 	Now func() time.Time
@@ -93,10 +93,10 @@
 	Weights Weights
 	// LeaseTTL is how long the lease of a silent holder lasts.
 	LeaseTTL time.Duration
-	// LeaseOutage is how long a holder goes on past its lease while the store
-	// does not answer; zero means not at all. Orders name the number of orders
-	// that their endpoint has taken, so two holders cannot harm a group.
-	LeaseOutage time.Duration
+	// LeaseOutageExtension is how long a holder keeps an expired lease while the store does
+	// not answer; zero disables this. Two holders cannot harm a group, because an order
+	// names the number of orders that its endpoint has accepted.
+	LeaseOutageExtension time.Duration
 	// CallTimeout bounds one report or order.
 	CallTimeout time.Duration
 	// Tick is the time between two looks at the view.
--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -104,18 +104,18 @@
 		CallTimeout:   100 * time.Millisecond,
 	}}
 	c := groupcontrol.New(groupcontrol.Options{
-		Node:        node,
-		DataCentre:  "north",
-		DataCentres: 1,
-		Unpaced:     func() bool { return !h.paced },
-		Weights:     groupcontrol.DefaultWeights,
-		Demand:      func() map[directory.Pool]groupcontrol.Demand { return nil },
-		LastEvent:   h.lastEvent,
-		LeaseTTL:    hallLease,
-		LeaseOutage: time.Minute,
-		CallTimeout: 40 * time.Millisecond,
-		Tick:        5 * time.Millisecond,
-		DrainWait:   20 * time.Millisecond,
+		Node:                 node,
+		DataCentre:           "north",
+		DataCentres:          1,
+		Unpaced:              func() bool { return !h.paced },
+		Weights:              groupcontrol.DefaultWeights,
+		Demand:               func() map[directory.Pool]groupcontrol.Demand { return nil },
+		LastEvent:            h.lastEvent,
+		LeaseTTL:             hallLease,
+		LeaseOutageExtension: time.Minute,
+		CallTimeout:          40 * time.Millisecond,
+		Tick:                 5 * time.Millisecond,
+		DrainWait:            20 * time.Millisecond,
 	}, h.table, h.fleet, d, func() []serving.EndpointID {
 		h.mu.Lock()
 		defer h.mu.Unlock()
--- a/internal/groupcontrol/lease.go
+++ b/internal/groupcontrol/lease.go
@@ -60,22 +60,22 @@
 		partition: string(o.DataCentre),
 		timeout:   o.LeaseTTL / 3,
 
-		holderLives: o.HolderLives,
-		holderKnown: o.HolderKnown,
+		holderLives: o.HolderAlive,
+		holderKnown: o.OnHolderRead,
 		rank:        o.Rank,
 		renew:       o.LeaseTTL / 3,
 		now:         o.Now,
 		began:       o.Now(),
 		log:         logging.For("lease"),
 		machine: lease.New(lease.Options{
-			Self:    o.Node,
-			Address: o.Address,
-			TTL:     o.LeaseTTL,
-			Renew:   o.LeaseTTL / 3,
-			Guard:   o.LeaseTTL / 5,
+			Self:          o.Node,
+			Address:       o.Address,
+			TTL:           o.LeaseTTL,
+			RenewInterval: o.LeaseTTL / 3,
+			Guard:         o.LeaseTTL / 5,
 
-			Earlier: o.EarlierLife,
-			Outage:  o.LeaseOutage,
+			IsEarlierIncarnation: o.IsEarlierIncarnation,
+			OutageExtension:      o.LeaseOutageExtension,
 		}),
 	}
 }
@@ -100,7 +100,7 @@
 	now := k.now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.machine.HoldsOver(now)
+	return k.machine.HeldPastExpiry(now)
 }
 
 // stepDown ends a hold past the lease, with the reason for the log.
@@ -122,10 +122,10 @@
 	if era == k.era {
 		return false
 	}
-	k.machine.Raise(era * epochsPerEra)
+	k.machine.ObserveEpoch(era * epochsPerEra)
 	if k.era > 0 || k.held {
 		k.log.Info("the store is of another era; a hold of the one before is given up", "data_centre", k.partition, "era", era, "before", k.era, "held", k.held)
-		k.machine.Forsake()
+		k.machine.Abandon()
 	}
 	k.era = era
 	return true
@@ -135,7 +135,7 @@
 func (k *leaseKeeper) heardEpoch(epoch uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.machine.Raise(epoch)
+	k.machine.ObserveEpoch(epoch)
 }
 
 // step does what the machine asks for, if anything.
@@ -169,14 +169,14 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.machine.Raise(seen)
+	k.machine.ObserveEpoch(seen)
 	turn := time.Duration(place) * k.renew
-	k.machine.SetLook(turn)
+	k.machine.SetReadInterval(turn)
 	_, held := k.machine.Held(now)
 	switch {
 	case held:
 	case lives:
-		k.machine.Heard(now)
+		k.machine.ObserveHolder(now)
 		return lease.Action{}
 	case now.Sub(k.began) < turn:
 		// It was told its place before it ever looked: those before it have looked.
@@ -194,10 +194,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
-		k.machine.Failed()
+		k.machine.StoreUnavailable()
 		return
 	}
-	k.machine.Read(k.now(), row, version)
+	k.machine.ReadDone(k.now(), row, version)
 }
 
 // fetch reads the row; its version is zero while there is none.
@@ -226,11 +226,11 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		// The epoch may be one that the lost time has seen already.
-		k.machine.Written(asked, action.Row, version, !restored)
+		k.machine.WriteDone(asked, action.Row, version, !restored)
 	case errors.Is(err, table.ErrUnavailable):
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.machine.Failed()
+		k.machine.StoreUnavailable()
 	default:
 		k.settle(ctx, asked, action)
 	}
@@ -245,11 +245,11 @@
 	defer k.mu.Unlock()
 	switch {
 	case err != nil || version == action.Version:
-		k.machine.Failed()
+		k.machine.StoreUnavailable()
 	case row.Holder == action.Row.Holder && row.Epoch == action.Row.Epoch && !restored && isOfEra(action.Version, k.era):
-		k.machine.Written(asked, row, version, true)
+		k.machine.WriteDone(asked, row, version, true)
 	default:
-		k.machine.Written(asked, action.Row, 0, false)
+		k.machine.WriteDone(asked, action.Row, 0, false)
 	}
 }
 
--- a/internal/groupcontrol/lease_test.go
+++ b/internal/groupcontrol/lease_test.go
@@ -33,7 +33,7 @@
 			k := newLeaseKeeper(nil, Options{
 				Node: "n", LeaseTTL: ttl,
 				Rank:        func() int { return test.rank },
-				HolderLives: func() bool { return test.lives },
+				HolderAlive: func() bool { return test.lives },
 			})
 			action := k.next(k.began.Add(test.after))
 			require.Equal(t, test.looks, action.Kind != lease.ActionNone)
--- a/internal/groupcontrol/situation.go
+++ b/internal/groupcontrol/situation.go
@@ -38,7 +38,7 @@
 		if demand.Requests > 0 {
 			s.meanWork[pool.Model] = demand.Groups / demand.Requests
 		}
-		if demand.Judged >= leastJudged {
+		if demand.Measured >= leastJudged {
 			s.inTime[pool.Model] = demand.InTime
 		}
 	}
--- a/internal/groupcontrol/spares.go
+++ b/internal/groupcontrol/spares.go
@@ -37,7 +37,7 @@
 func (s *situation) spares(domain string, free []*serving.Endpoint) []*serving.Endpoint {
 	largest := s.largest()
 	size := s.sizeOf(domain, free)
-	n := min(len(free), int(s.weights.Spares*size))
+	n := min(len(free), int(s.weights.SpareFraction*size))
 	if n == 0 || size < float64(largest.Size) {
 		return nil
 	}
--- a/internal/groupcontrol/value.go
+++ b/internal/groupcontrol/value.go
@@ -15,25 +15,24 @@
 	// Headroom is what the demand is multiplied with: groups are lost, and demand
 	// may rise, faster than others can be formed.
 	Headroom float64
-	// Change is what an endpoint that can start a model without a load counts
-	// for, against its part of a group of that model, when it changes to another
-	// model: what the group lacks may not come.
-	Change float64
+	// ModelChange is the cost of changing an endpoint that can start a model without a load
+	// to another model, relative to its part of a group: the group may stay incomplete.
+	ModelChange float64
 	// TakeoverGain is the part of the work that must be served more, by estimate,
 	// after groups were ended for another: groups that end cut their requests
 	// off, and the new one takes a second or two to open.
 	TakeoverGain float64
-	// Spares is the part of a domain's endpoints that are kept free for the model of
-	// the largest groups.
-	Spares float64
-	// Corrected has the demand that is reckoned corrected by the part of the requests
-	// that were served in time: the work of long prompts and of bursts is reckoned too
-	// low, and a model that lacks groups looks as if it had enough.
-	Corrected bool
-	// Home is the weight of what a data centre can do by itself, against what all
-	// can do together: it may be cut off from the others at any time, and
-	// controllers that all fill the same gap overshoot.
-	Home float64
+	// SpareFraction is the fraction of a domain's endpoints that is kept free for the model
+	// with the largest groups.
+	SpareFraction float64
+	// CorrectForLateness scales the estimated demand by the fraction of requests that were
+	// served in time: the estimate is too low for long prompts and bursts, which hides that
+	// a model lacks groups.
+	CorrectForLateness bool
+	// LocalWeight weights what a data centre can serve by itself against what all can serve
+	// together: it may lose contact with the others at any time, and controllers that all
+	// fill the same gap overshoot.
+	LocalWeight float64
 	// AcrossDomains allows groups that span domains, which are slow, where none
 	// within a domain can be formed.
 	AcrossDomains bool
@@ -45,7 +44,7 @@
 }
 
 // DefaultWeights were found by the rounds in docs/DECISIONS.md.
-var DefaultWeights = Weights{Demand: 0.85, Headroom: 1.6, Change: 0.7, TakeoverGain: 0.02, Spares: 0.06, Corrected: true, Home: 0.7, AcrossDomains: true, WarmSpares: true, SecondModels: true}
+var DefaultWeights = Weights{Demand: 0.85, Headroom: 1.6, ModelChange: 0.7, TakeoverGain: 0.02, SpareFraction: 0.06, CorrectForLateness: true, LocalWeight: 0.7, AcrossDomains: true, WarmSpares: true, SecondModels: true}
 
 // leastDemand is the demand, in endpoints, below which what is observed says
 // nothing yet.
@@ -90,7 +89,7 @@
 		total = max(1, s.capacity())
 	}
 	demand := s.shareOf(m) * total / float64(m.Size)
-	if inTime, known := s.inTime[m.Name]; known && s.weights.Corrected {
+	if inTime, known := s.inTime[m.Name]; known && s.weights.CorrectForLateness {
 		groups := s.groupsOf(m) + s.elsewhere[m.Name]/float64(m.Size)
 		demand = min(max(demand, groups/fullness(inTime)), mostCorrection*demand)
 	}
@@ -130,7 +129,7 @@
 		everywhere := here + s.elsewhere[m.Name]/float64(m.Size)
 		together := served(demand, everywhere)
 		alone := served(demand/float64(max(1, s.dataCentres)), here)
-		value += s.shareOf(m) * ((1-s.weights.Home)*together + s.weights.Home*alone)
+		value += s.shareOf(m) * ((1-s.weights.LocalWeight)*together + s.weights.LocalWeight*alone)
 	}
 	return value
 }
@@ -174,7 +173,7 @@
 		after[name] += n
 	}
 	again := s.value(after) - s.value(change)
-	return s.weights.Change * again * float64(endpoints) / float64(from.Size)
+	return s.weights.ModelChange * again * float64(endpoints) / float64(from.Size)
 }
 
 // pays reports whether a group is worth more than what its members could do for
--- a/internal/groupcontrol/value_test.go
+++ b/internal/groupcontrol/value_test.go
@@ -76,7 +76,7 @@
 // domain stayed reserved for it in every plan, and nothing was formed there.
 func TestAGroupThatDoesNotPayReservesNothing(t *testing.T) {
 	s := elsewhere(demanded(newSituation(rack{large: 2, small: 1, free: 16}), 6, 4), 0, 400)
-	s.weights.Home = 0
+	s.weights.LocalWeight = 0
 	require.Equal(t, small.Name, s.byNeed()[0].Name)
 	d := plan(s)
 	require.Len(t, d.formations, 1)
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -157,7 +157,7 @@
 		known = append(known, membership.Node{ID: other.id, DataCentre: dc, Address: "x"})
 	}
 	n.tracker.SetKnown(w.now, known)
-	n.lease = lease.New(lease.Options{Self: string(n.id), TTL: leaseTTL, Renew: leaseTTL / 4, Guard: leaseTTL / 4})
+	n.lease = lease.New(lease.Options{Self: string(n.id), TTL: leaseTTL, RenewInterval: leaseTTL / 4, Guard: leaseTTL / 4})
 	n.planner = placement.New(placement.DefaultOptions())
 	n.groups = fleet.NewGroups()
 	n.ledger, n.queue, n.busy, n.epoch, n.lastRevision = nil, nil, false, 0, 0
@@ -294,7 +294,7 @@
 	w.send(func() {
 		// A request that has left takes effect even if its sender is frozen
 		// or dead by now.
-		answer := func() { n.lease.Failed() }
+		answer := func() { n.lease.StoreUnavailable() }
 		if !cut && !w.down {
 			answer = ask()
 		}
@@ -411,7 +411,7 @@
 					_ = json.Unmarshal(r.value, &value)
 				}
 				n.epochVersion = epoch.version
-				n.lease.Read(w.now, value, r.version)
+				n.lease.ReadDone(w.now, value, r.version)
 			}
 		})
 	case lease.ActionAcquire, lease.ActionRenew:
@@ -432,10 +432,10 @@
 		version, ok, answered := w.commit(conditions, writes)
 		return func() {
 			if !answered {
-				n.lease.Failed()
+				n.lease.StoreUnavailable()
 				return
 			}
-			n.lease.Written(asked, action.Row, version, ok)
+			n.lease.WriteDone(asked, action.Row, version, ok)
 			if ok && action.Kind == lease.ActionAcquire {
 				n.epochVersion = version
 			}
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -30,17 +30,17 @@
 	Address string
 	// TTL is how long an unchanged row counts as held.
 	TTL time.Duration
-	// Renew is how often the holder renews, and how often others look.
-	Renew time.Duration
+	// RenewInterval is how often the holder renews the lease and the other nodes read it.
+	RenewInterval time.Duration
 	// Guard is how long before TTL the holder itself stops acting.
 	Guard time.Duration
-	// Earlier reports whether a holder is an earlier life of this node, which
-	// is over; nil means that nobody can tell.
-	Earlier func(holder string) bool
-	// Outage is how long a holder goes on past its lease while the table does
-	// not answer it; zero means not at all. The caller must be safe with two
-	// holders for so long: the table may answer others.
-	Outage time.Duration
+	// IsEarlierIncarnation reports whether a holder is an earlier incarnation of this node
+	// that no longer runs; nil means that this is unknown.
+	IsEarlierIncarnation func(holder string) bool
+	// OutageExtension is how long a holder keeps an expired lease while the table does not
+	// answer it; zero disables this. The table may grant the lease to another node meanwhile,
+	// so the caller must tolerate two holders for that long.
+	OutageExtension time.Duration
 }
 
 // ActionKind is what the caller has to do next.
@@ -95,7 +95,7 @@
 
 // Held reports whether this node may act, and under which epoch.
 func (m *Machine) Held(now time.Time) (epoch uint64, held bool) {
-	if m.acquired() && now.Before(m.until) || m.HoldsOver(now) {
+	if m.acquired() && now.Before(m.until) || m.HeldPastExpiry(now) {
 		return m.row.Epoch, true
 	}
 	return 0, false
@@ -106,16 +106,16 @@
 	return m.row.Holder == m.options.Self && !m.row.Released && !m.until.IsZero()
 }
 
-// HoldsOver reports whether this node holds past its lease because the table
-// does not answer.
-func (m *Machine) HoldsOver(now time.Time) bool {
-	return m.acquired() && m.failing && !now.Before(m.until) && now.Before(m.until.Add(m.options.Outage))
+// HeldPastExpiry reports whether this node still holds its expired lease because the
+// table does not answer.
+func (m *Machine) HeldPastExpiry(now time.Time) bool {
+	return m.acquired() && m.failing && !now.Before(m.until) && now.Before(m.until.Add(m.options.OutageExtension))
 }
 
 // StepDown ends a hold past the lease, since another node holds it or an endpoint
 // has seen a later epoch, and reports whether there was one.
 func (m *Machine) StepDown(now time.Time) bool {
-	if !m.HoldsOver(now) {
+	if !m.HeldPastExpiry(now) {
 		return false
 	}
 	m.until = time.Time{}
@@ -128,8 +128,8 @@
 	return m.row.Holder, m.row.Epoch
 }
 
-// SetLook changes how often a node that does not hold the lease looks at it.
-func (m *Machine) SetLook(d time.Duration) { m.look = d }
+// SetReadInterval sets how often a node that does not hold the lease reads the row.
+func (m *Machine) SetReadInterval(d time.Duration) { m.look = d }
 
 // Next returns what to do now. Only one action is under way at a time.
 func (m *Machine) Next(now time.Time) Action {
@@ -137,18 +137,18 @@
 		return Action{}
 	}
 	m.busy = true
-	m.next = now.Add(max(m.options.Renew, m.look))
+	m.next = now.Add(max(m.options.RenewInterval, m.look))
 	if !m.seen {
 		return Action{Kind: ActionRead}
 	}
 	if _, held := m.Held(now); held {
-		m.next = now.Add(m.options.Renew)
+		m.next = now.Add(m.options.RenewInterval)
 		row := m.row
 		row.Renewals++
 		return Action{Kind: ActionRenew, Row: row, Version: m.version}
 	}
 	if m.lapsed(now) {
-		m.next = now.Add(m.options.Renew)
+		m.next = now.Add(m.options.RenewInterval)
 		row := Row{Epoch: max(m.row.Epoch, m.highest) + 1, Holder: m.options.Self, Address: m.options.Address}
 		return Action{Kind: ActionAcquire, Row: row, Version: m.version}
 	}
@@ -165,24 +165,24 @@
 	if m.row.Released || m.version == 0 || m.forsaken && m.row.Holder == m.options.Self {
 		return true
 	}
-	return m.options.Earlier != nil && m.row.Holder != m.options.Self && m.options.Earlier(m.row.Holder)
+	return m.options.IsEarlierIncarnation != nil && m.row.Holder != m.options.Self && m.options.IsEarlierIncarnation(m.row.Holder)
 }
 
-// Raise notes an epoch that somebody has had, or may have had: this node acquires later ones
-// only. The table alone does not tell it if it came back from an older copy.
-func (m *Machine) Raise(epoch uint64) { m.highest = max(m.highest, epoch) }
+// ObserveEpoch records an epoch that may be in use, so that this node acquires later ones
+// only. A table that was restored from an older copy does not show it.
+func (m *Machine) ObserveEpoch(epoch uint64) { m.highest = max(m.highest, epoch) }
 
-// Forsake gives a hold up at once, since the table came back from an older copy: others may
-// have found the row as it was before this life had it. If the copy names this life it may
-// acquire the lease at once, under a later epoch.
-func (m *Machine) Forsake() {
+// Abandon gives up a hold at once because the table was restored from an older copy: others
+// may have read the row as it was before this incarnation acquired it. If the restored row
+// names this incarnation, it may acquire the lease again at once, under a later epoch.
+func (m *Machine) Abandon() {
 	m.forsaken = true
 	m.busy, m.failing, m.seen = false, false, false
 	m.until, m.next = time.Time{}, time.Time{}
 }
 
-// Read takes the row as it was read at the time given.
-func (m *Machine) Read(now time.Time, row Row, version uint64) {
+// ReadDone records the row as it was read at the given time.
+func (m *Machine) ReadDone(now time.Time, row Row, version uint64) {
 	m.busy = false
 	m.failing = false
 	if m.seen && version == m.version {
@@ -192,7 +192,7 @@
 	m.row = row
 	m.version = version
 	m.changed = now
-	m.Raise(row.Epoch)
+	m.ObserveEpoch(row.Epoch)
 	if m.free() {
 		m.next = now
 	}
@@ -200,9 +200,9 @@
 	// earlier life of this node may have written it.
 }
 
-// Heard says that the holder itself spoke, so that no look at the row is needed: it
-// counts like a change of the row.
-func (m *Machine) Heard(now time.Time) {
+// ObserveHolder records that the holder is alive, as a change of the row would, so that
+// the row need not be read.
+func (m *Machine) ObserveHolder(now time.Time) {
 	m.busy = false
 	m.changed = now
 	if later := now.Add(m.look); later.After(m.next) {
@@ -210,9 +210,9 @@
 	}
 }
 
-// Written takes the outcome of a write that was asked for at the time given.
-// The hold counts from the asking, not from the answer.
-func (m *Machine) Written(asked time.Time, row Row, version uint64, committed bool) {
+// WriteDone records the outcome of a write. The hold counts from the time of the request,
+// not of the response.
+func (m *Machine) WriteDone(asked time.Time, row Row, version uint64, committed bool) {
 	m.busy = false
 	m.failing = false
 	if !committed {
@@ -225,16 +225,16 @@
 	m.version = version
 	m.changed = asked
 	m.forsaken = false
-	m.Raise(row.Epoch)
+	m.ObserveEpoch(row.Epoch)
 	m.until = asked.Add(m.options.TTL - m.options.Guard)
 	if row.Released {
 		m.until = time.Time{}
 	}
 }
 
-// Failed says that the table did not answer; the hold runs on to its end, and
-// past it where the options say so.
-func (m *Machine) Failed() {
+// StoreUnavailable records that the table did not answer. The hold lasts until it expires,
+// or until the end of the outage extension if one is set.
+func (m *Machine) StoreUnavailable() {
 	m.busy = false
 	m.failing = true
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1000, 0)
 
 func machine(self string) *Machine {
-	return New(Options{Self: self, TTL: ttl, Renew: time.Second, Guard: time.Second})
+	return New(Options{Self: self, TTL: ttl, RenewInterval: time.Second, Guard: time.Second})
 }
 
 func at(d time.Duration) time.Time { return start.Add(d) }
@@ -24,11 +24,11 @@
 	t.Helper()
 	m := machine("a")
 	require.Equal(t, ActionRead, m.Next(start).Kind)
-	m.Read(start, Row{}, 0)
+	m.ReadDone(start, Row{}, 0)
 	action := m.Next(at(time.Second))
 	require.Equal(t, ActionAcquire, action.Kind)
 	require.Equal(t, uint64(1), action.Row.Epoch)
-	m.Written(at(time.Second), action.Row, 1, true)
+	m.WriteDone(at(time.Second), action.Row, 1, true)
 	return m
 }
 
@@ -54,7 +54,7 @@
 	action := m.Next(at(2 * time.Second))
 	require.Equal(t, ActionRenew, action.Kind)
 	// The answer comes 2 s after the asking, which buys nothing.
-	m.Written(at(2*time.Second), action.Row, 2, true)
+	m.WriteDone(at(2*time.Second), action.Row, 2, true)
 	_, held := m.Held(at(5*time.Second - 1))
 	assert.True(t, held)
 	_, held = m.Held(at(5 * time.Second))
@@ -64,12 +64,12 @@
 func TestOthersWaitForTheRowToRest(t *testing.T) {
 	m := machine("b")
 	m.Next(start)
-	m.Read(start, Row{Epoch: 3, Holder: "a", Renewals: 1}, 7)
+	m.ReadDone(start, Row{Epoch: 3, Holder: "a", Renewals: 1}, 7)
 	assert.Equal(t, ActionRead, m.Next(at(3*time.Second)).Kind)
 	// The holder has renewed: the wait begins anew.
-	m.Read(at(3*time.Second), Row{Epoch: 3, Holder: "a", Renewals: 2}, 8)
+	m.ReadDone(at(3*time.Second), Row{Epoch: 3, Holder: "a", Renewals: 2}, 8)
 	assert.Equal(t, ActionRead, m.Next(at(5*time.Second)).Kind)
-	m.Read(at(5*time.Second), Row{Epoch: 3, Holder: "a", Renewals: 2}, 8)
+	m.ReadDone(at(5*time.Second), Row{Epoch: 3, Holder: "a", Renewals: 2}, 8)
 	action := m.Next(at(7*time.Second + 1))
 	assert.Equal(t, Action{Kind: ActionAcquire, Row: Row{Epoch: 4, Holder: "b"}, Version: 8}, action)
 }
@@ -77,14 +77,14 @@
 func TestReleasedIsTakenAtOnce(t *testing.T) {
 	m := machine("b")
 	m.Next(start)
-	m.Read(start, Row{Epoch: 3, Holder: "a", Released: true}, 9)
+	m.ReadDone(start, Row{Epoch: 3, Holder: "a", Released: true}, 9)
 	assert.Equal(t, ActionAcquire, m.Next(at(time.Second)).Kind)
 }
 
 func TestLostRaceIsNoHold(t *testing.T) {
 	m := acquired(t)
 	action := m.Next(at(2 * time.Second))
-	m.Written(at(2*time.Second), action.Row, 0, false)
+	m.WriteDone(at(2*time.Second), action.Row, 0, false)
 	_, held := m.Held(at(2 * time.Second))
 	assert.False(t, held)
 	assert.Equal(t, ActionRead, m.Next(at(2*time.Second)).Kind)
@@ -95,7 +95,7 @@
 func TestOwnNameFromAnEarlierLife(t *testing.T) {
 	m := machine("a")
 	m.Next(start)
-	m.Read(start, Row{Epoch: 5, Holder: "a"}, 4)
+	m.ReadDone(start, Row{Epoch: 5, Holder: "a"}, 4)
 	_, held := m.Held(start)
 	assert.False(t, held)
 }
@@ -111,17 +111,17 @@
 
 func TestAHolderThatSpeaksKeepsTheLeaseFromLapsing(t *testing.T) {
 	start := time.Unix(0, 0)
-	m := New(Options{Self: "b", TTL: time.Second, Renew: 100 * time.Millisecond, Guard: 100 * time.Millisecond})
+	m := New(Options{Self: "b", TTL: time.Second, RenewInterval: 100 * time.Millisecond, Guard: 100 * time.Millisecond})
 	require.Equal(t, ActionRead, m.Next(start).Kind)
-	m.Read(start, Row{Epoch: 1, Holder: "a"}, 7)
+	m.ReadDone(start, Row{Epoch: 1, Holder: "a"}, 7)
 	for i := 1; i <= 30; i++ {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 		require.Equal(t, ActionRead, m.Next(now).Kind)
-		m.Heard(now)
+		m.ObserveHolder(now)
 	}
 	last := start.Add(3 * time.Second)
 	require.Equal(t, ActionRead, m.Next(last.Add(900*time.Millisecond)).Kind)
-	m.Failed()
+	m.StoreUnavailable()
 	require.Equal(t, ActionAcquire, m.Next(last.Add(1100*time.Millisecond)).Kind)
 }
 
@@ -140,12 +140,12 @@
 		{"other/first", ActionNone},
 		{"node/first", ActionNone},
 	} {
-		m := New(Options{Self: c.self, TTL: ttl, Renew: time.Second, Guard: time.Second})
+		m := New(Options{Self: c.self, TTL: ttl, RenewInterval: time.Second, Guard: time.Second})
 		if strings.HasPrefix(c.self, "node/") {
-			m.options.Earlier = earlier(c.self)
+			m.options.IsEarlierIncarnation = earlier(c.self)
 		}
 		require.Equal(t, ActionRead, m.Next(start).Kind)
-		m.Read(at(time.Millisecond), held, 11)
+		m.ReadDone(at(time.Millisecond), held, 11)
 		action := m.Next(at(2 * time.Millisecond))
 		require.Equal(t, c.kind, action.Kind, c.self)
 		if c.kind == ActionAcquire {
@@ -175,20 +175,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := acquired(t)
-			m.options.Outage = c.outage
+			m.options.OutageExtension = c.outage
 			if c.failing {
 				require.Equal(t, ActionRenew, m.Next(at(2*time.Second)).Kind)
-				m.Failed()
+				m.StoreUnavailable()
 			}
 			assert.Equal(t, c.want, held(m, 30*time.Second))
-			assert.Equal(t, c.want, m.HoldsOver(at(30*time.Second)))
+			assert.Equal(t, c.want, m.HeldPastExpiry(at(30*time.Second)))
 			assert.False(t, held(m, 2*time.Hour))
 		})
 	}
 	m := acquired(t)
-	m.options.Outage = time.Minute
+	m.options.OutageExtension = time.Minute
 	m.Next(at(2 * time.Second))
-	m.Failed()
+	m.StoreUnavailable()
 	m.StepDown(at(3 * time.Second))
 	assert.True(t, held(m, 3*time.Second), "the lease itself still runs")
 	m.StepDown(at(30 * time.Second))
@@ -199,12 +199,12 @@
 // The table answers again, and another node has the lease.
 func TestAHoldPastTheLeaseEndsWithARefusedRenewal(t *testing.T) {
 	m := acquired(t)
-	m.options.Outage = time.Minute
+	m.options.OutageExtension = time.Minute
 	m.Next(at(2 * time.Second))
-	m.Failed()
+	m.StoreUnavailable()
 	action := m.Next(at(30 * time.Second))
 	require.Equal(t, ActionRenew, action.Kind)
-	m.Written(at(30*time.Second), action.Row, 0, false)
+	m.WriteDone(at(30*time.Second), action.Row, 0, false)
 	_, held := m.Held(at(30 * time.Second))
 	assert.False(t, held)
 }
@@ -213,10 +213,10 @@
 // nothing over.
 func TestAFormerHolderHoldsNothingOver(t *testing.T) {
 	m := acquired(t)
-	m.options.Outage = time.Minute
-	m.Read(at(6*time.Second), Row{Epoch: 2, Holder: "b"}, 2)
-	m.Failed()
-	assert.False(t, m.HoldsOver(at(7*time.Second)))
+	m.options.OutageExtension = time.Minute
+	m.ReadDone(at(6*time.Second), Row{Epoch: 2, Holder: "b"}, 2)
+	m.StoreUnavailable()
+	assert.False(t, m.HeldPastExpiry(at(7*time.Second)))
 	assert.False(t, m.StepDown(at(7*time.Second)))
 }
 
@@ -240,17 +240,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := acquired(t)
-			m.Raise(c.raise)
-			m.Forsake()
+			m.ObserveEpoch(c.raise)
+			m.Abandon()
 			_, held := m.Held(at(2 * time.Second))
 			require.False(t, held)
 			require.Equal(t, ActionRead, m.Next(at(2*time.Second)).Kind)
-			m.Read(at(2*time.Second), c.row, c.version)
+			m.ReadDone(at(2*time.Second), c.row, c.version)
 			action := m.Next(at(2*time.Second + time.Millisecond))
 			require.Equal(t, c.kind, action.Kind)
 			if c.kind == ActionAcquire {
 				require.Equal(t, c.epoch, action.Row.Epoch)
-				m.Written(at(2*time.Second+time.Millisecond), action.Row, 4, true)
+				m.WriteDone(at(2*time.Second+time.Millisecond), action.Row, 4, true)
 				_, held = m.Held(at(3 * time.Second))
 				require.True(t, held)
 			}
