--- a/cmd/ridgehinge/status.go
+++ b/cmd/ridgehinge/status.go
@@ -61,7 +61,7 @@
 	}
 	fmt.Fprintln(w, "\nINSTANCE\tDOMAIN\tPHASE\tGROUP\tLEAVING")
 	for _, in := range s.Instances {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\n", in.ID, in.Domain, in.Phase, in.Group, in.Leaving)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\n", in.ID, in.Domain, in.Phase, in.Group, in.Draining)
 	}
 	return flushed(w)
 }
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -94,7 +94,7 @@
 // fetchGroups reads all group rows. Rows newer than the head that was read
 // before are kept as well; they only bring later news earlier.
 func (l *Loop) fetchGroups(ctx context.Context, head uint64) (fleet.GroupsDelta, error) {
-	delta := fleet.GroupsDelta{To: head, Whole: true}
+	delta := fleet.GroupsDelta{To: head, Full: true}
 	rows, err := l.options.Platform.Scan(ctx, ledger.GroupPrefix(l.options.Self.DataCentre))
 	if err != nil {
 		return delta, err
@@ -175,7 +175,7 @@
 			continue
 		}
 		if _, fresh := l.tracker.Status(now, id); fresh {
-			in.Leaving = true
+			in.Draining = true
 			mine[id] = in
 			l.unlisted[id] = true
 		}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -159,7 +159,7 @@
 		}
 		t := serviceTarget(in, status)
 		whole[t.Group] = Whole{t.Generation, t.Until}
-		if !t.Leaving {
+		if !t.Draining {
 			out = append(out, t)
 		}
 	}
@@ -178,7 +178,7 @@
 		Reported:    status.Report.Version,
 		Seen:        status.Seen,
 		Until:       status.Until,
-		Leaving:     in.Leaving || status.Report.Leaving,
+		Draining:    in.Draining || status.Report.Draining,
 	}
 }
 
@@ -212,8 +212,8 @@
 		if !listed || !fresh || !l.matches(now, g, m, in, r) {
 			return t, groupDown
 		}
-		if in.Leaving || r.Leaving {
-			t.Leaving = true
+		if in.Draining || r.Draining {
+			t.Draining = true
 			state = groupClosed
 		}
 		if rank == 0 || status.Until.Before(t.Until) {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -36,12 +36,12 @@
 
 // InstanceStatus is one endpoint.
 type InstanceStatus struct {
-	ID      fleet.InstanceID `json:"id"`
-	Domain  string           `json:"domain"`
-	Fresh   bool             `json:"fresh"`
-	Phase   string           `json:"phase"`
-	Group   fleet.GroupID    `json:"group,omitempty"`
-	Leaving bool             `json:"leaving,omitempty"`
+	ID       fleet.InstanceID `json:"id"`
+	Domain   string           `json:"domain"`
+	Fresh    bool             `json:"fresh"`
+	Phase    string           `json:"phase"`
+	Group    fleet.GroupID    `json:"group,omitempty"`
+	Draining bool             `json:"leaving,omitempty"`
 }
 
 // GroupStatus is one replica group.
@@ -101,12 +101,12 @@
 			phase = status.Report.Phase
 		}
 		s.Instances = append(s.Instances, InstanceStatus{
-			ID:      id,
-			Domain:  in.Domain,
-			Fresh:   fresh,
-			Phase:   phase.String(),
-			Group:   status.Report.Group,
-			Leaving: in.Leaving || status.Report.Leaving,
+			ID:       id,
+			Domain:   in.Domain,
+			Fresh:    fresh,
+			Phase:    phase.String(),
+			Group:    status.Report.Group,
+			Draining: in.Draining || status.Report.Draining,
 		})
 	}
 	sort.Slice(s.Instances, func(i, j int) bool { return s.Instances[i].ID < s.Instances[j].ID })
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -124,11 +124,11 @@
 // marked returns an endpoint as leaving if it has said so itself: rows lag, and those of an
 // older copy of the store or another writer do not tell.
 func (d *Directory) marked(e *serving.Endpoint) *serving.Endpoint {
-	if e.Leaving || !d.drains(e) {
+	if e.Draining || !d.drains(e) {
 		return e
 	}
 	leaving := *e
-	leaving.Leaving = true
+	leaving.Draining = true
 	return &leaving
 }
 
@@ -287,7 +287,7 @@
 	merged := *r.endpoint
 	merged.Model = r.lastModel
 	if merged.StartedAt != r.startedAt {
-		merged.StartedAt, merged.Leaving, merged.Membership = r.startedAt, false, serving.Membership{}
+		merged.StartedAt, merged.Draining, merged.Membership = r.startedAt, false, serving.Membership{}
 	}
 	if r.observed != nil {
 		merged.Membership = r.observed.Membership
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -115,12 +115,12 @@
 	d, _, _ := known(t)
 	d.SetReturnGrace(DefaultReturnGrace)
 	start := time.Now()
-	value, err := json.Marshal(serving.Endpoint{ID: "e", Leaving: true})
+	value, err := json.Marshal(serving.Endpoint{ID: "e", Draining: true})
 	require.NoError(t, err)
 	d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: 50}}, 1, 50, start)
-	require.True(t, d.View().Endpoints["e"].Leaving)
+	require.True(t, d.View().Endpoints["e"].Draining)
 	d.Refresh(start.Add(time.Minute))
-	require.True(t, d.View().Endpoints["e"].Leaving, "no row says otherwise")
+	require.True(t, d.View().Endpoints["e"].Draining, "no row says otherwise")
 	d.TakeChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 50, 100, start.Add(time.Minute))
 	require.Empty(t, d.View().Endpoints)
 	require.Empty(t, d.View().Lapsed)
@@ -167,7 +167,7 @@
 		if i%100 == 0 {
 			dc = "own"
 		}
-		value, err := json.Marshal(serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Leaving: i == 33})
+		value, err := json.Marshal(serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Draining: i == 33})
 		require.NoError(t, err)
 		d.TakeChanges([]table.Row{{Key: fmt.Sprint(i), Value: value, Version: uint64(i + 2)}}, 0, uint64(i+2), now)
 	}
--- a/internal/directory/draining_test.go
+++ b/internal/directory/draining_test.go
@@ -29,23 +29,23 @@
 		return d.View()
 	}
 	plain := serving.Endpoint{ID: "e", StartedAt: 5, Service: "shop", Address: "a:1"}
-	require.False(t, take(plain, false).Endpoints["e"].Leaving)
+	require.False(t, take(plain, false).Endpoints["e"].Draining)
 
 	draining[plain.Incarnation()] = true
 	d.Invalidate()
-	require.True(t, d.View().Endpoints["e"].Leaving)
+	require.True(t, d.View().Endpoints["e"].Draining)
 	changed := plain
 	changed.Slots, changed.Writes = 7, 9
-	require.True(t, take(changed, false).Endpoints["e"].Leaving)
+	require.True(t, take(changed, false).Endpoints["e"].Draining)
 	require.Equal(t, 7, d.View().Endpoints["e"].Slots)
 
 	// A row that goes says nothing of an endpoint that serves on.
 	view := take(changed, true)
 	require.Nil(t, view.Endpoints["e"])
 	require.Nil(t, view.Lapsed["e"])
-	require.True(t, take(changed, false).Endpoints["e"].Leaving)
+	require.True(t, take(changed, false).Endpoints["e"].Draining)
 
 	next := plain
 	next.StartedAt = 6
-	require.False(t, take(next, false).Endpoints["e"].Leaving)
+	require.False(t, take(next, false).Endpoints["e"].Draining)
 }
--- a/internal/directory/era_test.go
+++ b/internal/directory/era_test.go
@@ -29,7 +29,7 @@
 // member is a record of an endpoint in its group.
 func member(writes, epoch uint64, leaving bool) serving.Endpoint {
 	return serving.Endpoint{
-		ID: "e", StartedAt: 5, Service: "llm", Address: "10.0.0.1:1", DataCentre: "north", Slots: 8, Writes: writes, Leaving: leaving,
+		ID: "e", StartedAt: 5, Service: "llm", Address: "10.0.0.1:1", DataCentre: "north", Slots: 8, Writes: writes, Draining: leaving,
 		Membership: serving.Membership{Group: "g", Epoch: epoch, State: serving.MemberOpen},
 	}
 }
@@ -71,13 +71,13 @@
 			e := d.View().Endpoints["e"]
 			require.Equal(t, test.listed, e != nil)
 			if e != nil {
-				require.Equal(t, test.leaving, e.Leaving)
+				require.Equal(t, test.leaving, e.Draining)
 				require.Equal(t, test.epoch, e.Membership.Epoch)
 			}
 			d.TakeChanges([]table.Row{rowIn(t, 2, 9, test.after)}, table.VersionIn(2, 7), table.VersionIn(2, 9), restored)
 			e = d.View().Endpoints["e"]
 			require.NotNil(t, e)
-			require.Equal(t, test.afterLeaves, e.Leaving)
+			require.Equal(t, test.afterLeaves, e.Draining)
 		})
 	}
 }
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -60,11 +60,11 @@
 // of the incarnation before change nothing then.
 func TestIncarnation_ObservationsCountAgainstOlderRows(t *testing.T) {
 	l := newIncarnations(t)
-	l.row(serving.Endpoint{StartedAt: 100, Model: "m", Membership: openGroup, Leaving: true})
+	l.row(serving.Endpoint{StartedAt: 100, Model: "m", Membership: openGroup, Draining: true})
 	joining := serving.Membership{Group: "h", Epoch: 3, State: serving.MemberJoining}
 	l.observed(200, true, joining, "", 1)
 	require.Equal(t, joining, l.view().Membership)
-	require.False(t, l.view().Leaving, "that was the incarnation before")
+	require.False(t, l.view().Draining, "that was the incarnation before")
 	l.row(serving.Endpoint{StartedAt: 100, Model: "m", Membership: openGroup, Slots: 3})
 	require.Equal(t, joining, l.view().Membership)
 	require.EqualValues(t, 200, l.view().StartedAt)
--- a/internal/directory/logs.go
+++ b/internal/directory/logs.go
@@ -47,11 +47,11 @@
 // logs a notice to leave, whoever decides on the endpoint: no request may go there from
 // then on, and only the node's own line tells since when it knew.
 func (d *Directory) logChanged(e *serving.Endpoint, row table.Row) {
-	if !e.Leaving && !d.logsEach(e.DataCentre) {
+	if !e.Draining && !d.logsEach(e.DataCentre) {
 		d.unlogged.changed++
 		return
 	}
-	d.log.Info("an endpoint has changed", "endpoint", row.Key, "version", row.Version, "leaving", e.Leaving,
+	d.log.Info("an endpoint has changed", "endpoint", row.Key, "version", row.Version, "leaving", e.Draining,
 		"model", e.Model, "staged", e.Staged, "domain", e.Domain, "group", e.Membership.Group, "epoch", e.Membership.Epoch, "state", e.Membership.State.String())
 }
 
--- a/internal/directory/rows.go
+++ b/internal/directory/rows.go
@@ -50,7 +50,7 @@
 	if was {
 		d.logGone(record, row)
 	}
-	if was && !record.endpoint.Leaving {
+	if was && !record.endpoint.Draining {
 		record.lapsed = record.merged()
 		if until := d.resumedAt.Add(d.returnGrace); now.Before(until) {
 			record.trustedUntil = until
@@ -64,18 +64,18 @@
 // takeEndpoint takes what a row says of its endpoint.
 func (d *Directory) takeEndpoint(record *endpointRecord, e *serving.Endpoint, row table.Row) bool {
 	before := record.endpoint
-	if before != nil && before.StartedAt == e.StartedAt && e.StartedAt != 0 && before.Leaving {
+	if before != nil && before.StartedAt == e.StartedAt && e.StartedAt != 0 && before.Draining {
 		// Nobody takes a notice to leave back: a row without it is an older copy's.
-		e.Leaving = true
+		e.Draining = true
 	}
-	if before != nil && before.Same(e) {
+	if before != nil && before.Equal(e) {
 		record.writes = e.Writes
 		return false
 	}
 	if before == nil || before.StartedAt != e.StartedAt {
 		d.startIncarnation(record, e)
 	}
-	if before == nil || before.Leaving != e.Leaving || before.Membership != e.Membership {
+	if before == nil || before.Draining != e.Draining || before.Membership != e.Membership {
 		d.logChanged(e, row)
 	}
 	record.endpoint, record.lapsed, record.trustedUntil = e, nil, time.Time{}
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		if service.Engine == nil {
-			if !e.Leaving {
+			if !e.Draining {
 				v.Plain[e.Service] = append(v.Plain[e.Service], e)
 			}
 			continue
@@ -97,7 +97,7 @@
 
 // newHead returns nil for an endpoint that takes no new requests of a model.
 func newHead(e *serving.Endpoint, engine *serving.Engine, members []*serving.Endpoint) *Head {
-	if e.Leaving || e.Membership.Rank != 0 || e.Membership.State != serving.MemberOpen {
+	if e.Draining || e.Membership.Rank != 0 || e.Membership.State != serving.MemberOpen {
 		return nil
 	}
 	model, ok := engine.Model(e.Model)
@@ -107,7 +107,7 @@
 	head := &Head{Endpoint: e, Model: model, Engine: engine, Pace: model.Pace}
 	for _, m := range members {
 		head.Members = append(head.Members, m.ID)
-		head.Degraded = head.Degraded || m.Leaving
+		head.Degraded = head.Degraded || m.Draining
 		if m.Domain != e.Domain {
 			head.Pace = model.Pace * engine.FarFactor
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -36,7 +36,7 @@
 	}
 	invariant.Check(c.p.repeatable || !c.mayHaveRun, invariant.AtMostOnce, "request %s, attempt %s", c.id, call.Attempt)
 	invariant.Check(now.Before(target.Until), invariant.GroupWhole, "request %s on group %s", c.id, target.Group)
-	invariant.Check(!target.Leaving, invariant.NoNewWork, "request %s on group %s", c.id, target.Group)
+	invariant.Check(!target.Draining, invariant.NoNewWork, "request %s on group %s", c.id, target.Group)
 	c.attempts++
 	response, err := c.g.options.Engine.Do(ctx, call)
 	if !errors.Is(err, engine.ErrNotRun) {
--- a/internal/groupcontrol/groups.go
+++ b/internal/groupcontrol/groups.go
@@ -138,7 +138,7 @@
 		return reasonLost
 	case slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return c.isDead(e, now) }) && !c.works(g, now):
 		return reasonSilent
-	case slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return e.Leaving }):
+	case slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return e.Draining }):
 		return reasonLeaving
 	case g.head.Membership.State < serving.MemberOpen && timeSince(c.unopened, g.key, now) > unopenedFor:
 		return reasonUnopened
--- a/internal/groupcontrol/situation.go
+++ b/internal/groupcontrol/situation.go
@@ -120,7 +120,7 @@
 
 // addFree adds an endpoint that may be used for new groups.
 func (c *Controller) addFree(s *situation, e *serving.Endpoint, now time.Time) {
-	if e.Leaving || c.isDead(e, now) || now.Sub(c.taken[e.ID]) < takenFor {
+	if e.Draining || c.isDead(e, now) || now.Sub(c.taken[e.ID]) < takenFor {
 		return
 	}
 	if op := c.busy[e.ID]; op != nil && op.what == busyDissolving {
--- a/internal/groupcontrol/staging.go
+++ b/internal/groupcontrol/staging.go
@@ -179,7 +179,7 @@
 // other returns the neediest model that a member's host should hold, if it does
 // not hold one yet beside the member's own.
 func (s *situation) other(e *serving.Endpoint) (serving.Model, bool) {
-	if e.Model == "" || e.Leaving || s.staging[e.ID] != "" {
+	if e.Model == "" || e.Draining || s.staging[e.ID] != "" {
 		return serving.Model{}, false
 	}
 	if slices.ContainsFunc(e.Staged, func(held string) bool { return held != e.Model }) {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -35,7 +35,7 @@
 	defer cancel(nil)
 	now := time.Now()
 	invariant.Check(c.route.Repeatable() || !c.mayHaveRun, invariant.AtMostOnce, "request %s at %s", c.attrs.ID, t.ID)
-	invariant.Check(!t.Leaving, invariant.NoNewWork, "request %s at %s", c.attrs.ID, t.ID)
+	invariant.Check(!t.Draining, invariant.NoNewWork, "request %s at %s", c.attrs.ID, t.ID)
 	flight := c.options.Balancer.begin(t.Endpoint, c.size(), now)
 	flight.head = t.head
 	defer flight.end()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -57,7 +57,7 @@
 	for _, r := range w.scan(ledger.GroupPrefix(dc)) {
 		var g fleet.Group
 		_ = json.Unmarshal(r.Value, &g)
-		if g.Gone {
+		if g.Deleted {
 			continue
 		}
 		for _, m := range g.Members {
--- a/internal/standin/enginestandin/enginestandin.go
+++ b/internal/standin/enginestandin/enginestandin.go
@@ -144,7 +144,7 @@
 func (s *Server) handleLeave(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(func(r *fleet.Report) { r.Leaving = true })
+	s.change(func(r *fleet.Report) { r.Draining = true })
 }
 
 func (s *Server) handleRuns(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -193,7 +193,7 @@
 	e.gone = c == Dark
 	e.unreachable = c == Dark || c == CutOff
 	e.unlisted = c == Dark || c == CutOff || c == Unlisted
-	e.Leaving = c == Leaving
+	e.Draining = c == Leaving
 	if e.unlisted {
 		f.commit(table.Change{Removals: []table.Row{{Table: f.endpointTable, Key: string(id)}}})
 		return
@@ -219,7 +219,7 @@
 	before.gone = true
 	f.leaves(before)
 	fresh := &Endpoint{Endpoint: before.Endpoint}
-	fresh.Model, fresh.Leaving, fresh.Writes = "", false, 0
+	fresh.Model, fresh.Draining, fresh.Writes = "", false, 0
 	fresh.StartedAt = f.nextStart(before.StartedAt)
 	f.endpoints[id] = fresh
 	f.write(fresh)
--- a/lab/cluster/observe.go
+++ b/lab/cluster/observe.go
@@ -199,7 +199,7 @@
 	for _, row := range rows {
 		var g fleet.Group
 		require.NoError(c.t, json.Unmarshal(row.Value, &g))
-		if g.Gone {
+		if g.Deleted {
 			continue
 		}
 		for _, m := range g.Members {
--- a/lab/integration/members_test.go
+++ b/lab/integration/members_test.go
@@ -154,7 +154,7 @@
 				c.Leave(leader)
 			} else {
 				in := c.Instance(leader.Name)
-				in.Leaving = true
+				in.Draining = true
 				c.PutInstance(in)
 			}
 			c.Eventually("another group has taken over", func() bool {
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -50,8 +50,8 @@
 	Service string `json:"service,omitempty"`
 	// Accelerators is the number of accelerators on the instance.
 	Accelerators int `json:"accelerators"`
-	// Leaving is set by the platform before it takes the instance away.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is set by the platform before it removes the instance.
+	Draining bool `json:"leaving,omitempty"`
 	// ChecksFences tells whether the endpoint refuses orders with a lower
 	// fence than it has seen.
 	ChecksFences bool `json:"checks_fences"`
@@ -106,7 +106,7 @@
 	Phase      Phase   `json:"phase"`
 	Group      GroupID `json:"group,omitempty"`
 	Generation uint64  `json:"generation,omitempty"`
-	Leaving    bool    `json:"leaving,omitempty"`
+	Draining   bool    `json:"leaving,omitempty"`
 	// Weights names the model and version whose weights are in memory.
 	Weights string `json:"weights,omitempty"`
 	// Slots is how many requests the endpoint runs at once.
@@ -115,9 +115,9 @@
 	Load int `json:"load,omitempty"`
 }
 
-// SameButLoad reports whether two reports differ in the load at most, and in
-// the version that rises with it.
-func (r Report) SameButLoad(other Report) bool {
+// EqualExceptLoad reports whether two reports are equal apart from the load and the version,
+// which rises with it.
+func (r Report) EqualExceptLoad(other Report) bool {
 	r.Load, r.Version = other.Load, other.Version
 	return r == other
 }
@@ -153,8 +153,8 @@
 	Members []Member `json:"members"`
 	// Draining groups take no new requests and end when they are empty.
 	Draining bool `json:"draining,omitempty"`
-	// Gone marks a tombstone, kept so that peers learn of the end.
-	Gone bool `json:"gone,omitempty"`
+	// Deleted marks a tombstone, which is kept so that peers learn of the deletion.
+	Deleted bool `json:"gone,omitempty"`
 	// Revision is the data centre's group revision of the last change.
 	Revision uint64 `json:"revision"`
 	// Since is when the group was first committed.
--- a/pkg/fleet/groups.go
+++ b/pkg/fleet/groups.go
@@ -23,14 +23,14 @@
 // Get returns a group; a tombstone is not returned.
 func (s *Groups) Get(id GroupID) (Group, bool) {
 	g, ok := s.groups[id]
-	return g, ok && !g.Gone
+	return g, ok && !g.Deleted
 }
 
 // All returns the groups that have not ended, by id.
 func (s *Groups) All() []Group {
 	out := make([]Group, 0, len(s.groups))
 	for _, g := range s.groups {
-		if !g.Gone {
+		if !g.Deleted {
 			out = append(out, g)
 		}
 	}
@@ -43,14 +43,14 @@
 	Since  uint64  `json:"since"`
 	To     uint64  `json:"to"`
 	Groups []Group `json:"groups"`
-	// Whole tells that groups not listed have ended.
-	Whole bool `json:"whole,omitempty"`
+	// Full means that groups not listed are deleted.
+	Full bool `json:"whole,omitempty"`
 }
 
 // DeltaSince returns what a node at an older revision lacks.
 func (s *Groups) DeltaSince(since uint64) GroupsDelta {
 	whole := since < s.floor
-	d := GroupsDelta{Since: since, To: s.revision, Whole: whole}
+	d := GroupsDelta{Since: since, To: s.revision, Full: whole}
 	for _, g := range s.groups {
 		if whole || g.Revision > since {
 			d.Groups = append(d.Groups, g)
@@ -63,10 +63,10 @@
 // Apply takes a delta. It returns false, and changes nothing, when the delta
 // would leave a gap or brings nothing newer.
 func (s *Groups) Apply(d GroupsDelta) bool {
-	if d.To <= s.revision || !d.Whole && d.Since > s.revision {
+	if d.To <= s.revision || !d.Full && d.Since > s.revision {
 		return false
 	}
-	if d.Whole {
+	if d.Full {
 		s.dropUnlisted(d)
 	}
 	for _, g := range d.Groups {
@@ -95,7 +95,7 @@
 // DropTombstones forgets groups that ended at or before a revision.
 func (s *Groups) DropTombstones(upTo uint64) {
 	for id, g := range s.groups {
-		if g.Gone && g.Revision <= upTo {
+		if g.Deleted && g.Revision <= upTo {
 			delete(s.groups, id)
 			s.floor = max(s.floor, g.Revision)
 		}
--- a/pkg/fleet/groups_test.go
+++ b/pkg/fleet/groups_test.go
@@ -27,11 +27,11 @@
 	s, behind := NewGroups(), NewGroups()
 	s.Apply(delta(0, 1, Group{ID: "a", Revision: 1}))
 	behind.Apply(s.DeltaSince(0))
-	s.Apply(delta(1, 2, Group{ID: "a", Revision: 2, Gone: true}))
+	s.Apply(delta(1, 2, Group{ID: "a", Revision: 2, Deleted: true}))
 	s.Apply(delta(2, 3, Group{ID: "b", Revision: 3}))
 	s.DropTombstones(2)
 	d := s.DeltaSince(behind.Revision())
-	assert.True(t, d.Whole)
+	assert.True(t, d.Full)
 	assert.True(t, behind.Apply(d))
 	assert.Equal(t, []Group{{ID: "b", Revision: 3}}, behind.All())
 }
--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -118,7 +118,7 @@
 		owners:   map[fleet.InstanceID]fleet.GroupID{},
 		ended:    map[fleet.GroupID]uint64{},
 	}
-	delta := fleet.GroupsDelta{Whole: true}
+	delta := fleet.GroupsDelta{Full: true}
 	for _, row := range rows {
 		l.versions[row.Key] = row.Version
 		if err := l.load(row, &delta); err != nil {
@@ -140,7 +140,7 @@
 		var g fleet.Group
 		err := json.Unmarshal(row.Value, &g)
 		delta.Groups = append(delta.Groups, g)
-		if g.Gone {
+		if g.Deleted {
 			l.ended[g.ID] = g.Revision
 		}
 		return err
@@ -175,7 +175,7 @@
 	case placement.ActionRepair:
 		group.Epoch, group.Generation = l.epoch, revision
 	case placement.ActionEnd:
-		group.Gone = true
+		group.Deleted = true
 	}
 	c := Change{Group: group}
 	// The head comes first: its row settles a doubt about the outcome.
@@ -204,7 +204,7 @@
 // addOwners adds the rows of the instances that join or leave the group.
 func (l *Ledger) addOwners(c *Change, old fleet.Group) bool {
 	for _, m := range c.Group.Members {
-		if c.Group.Gone || old.Has(m.Instance) {
+		if c.Group.Deleted || old.Has(m.Instance) {
 			continue
 		}
 		if l.owners[m.Instance] != "" {
@@ -213,7 +213,7 @@
 		l.add(c, OwnerKey(l.dc, m.Instance), Owner{c.Group.ID, c.Group.Generation})
 	}
 	for _, m := range old.Members {
-		if c.Group.Gone || !c.Group.Has(m.Instance) {
+		if c.Group.Deleted || !c.Group.Has(m.Instance) {
 			l.add(c, OwnerKey(l.dc, m.Instance), Owner{})
 		}
 	}
@@ -234,7 +234,7 @@
 		delete(l.versions, key)
 		delete(l.ended, fleet.GroupID(strings.TrimPrefix(key, GroupPrefix(l.dc))))
 	}
-	if c.Group.Gone {
+	if c.Group.Deleted {
 		l.ended[c.Group.ID] = c.Group.Revision
 	}
 	return fleet.GroupsDelta{Since: c.Group.Revision - 1, To: c.Group.Revision, Groups: []fleet.Group{c.Group}}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -161,7 +161,7 @@
 	if _, ok := p.reports[r.Instance]; !ok {
 		t.holders[r.Instance] = append(t.holders[r.Instance], p)
 	}
-	if !p.reports[r.Instance].SameButLoad(r) {
+	if !p.reports[r.Instance].EqualExceptLoad(r) {
 		t.changes++
 	}
 	p.reports[r.Instance] = r
@@ -341,7 +341,7 @@
 	if o.report == r || !t.worthTelling(asked, o, r) {
 		return
 	}
-	if !o.report.SameButLoad(r) {
+	if !o.report.EqualExceptLoad(r) {
 		t.changes++
 	}
 	t.seq++
@@ -358,7 +358,7 @@
 // changes with every request; told at every change it would fill the beats,
 // and routing allows for loads that are late.
 func (t *Tracker) worthTelling(now time.Time, o *ownReport, r fleet.Report) bool {
-	if !o.report.SameButLoad(r) || r.Load == o.report.Load {
+	if !o.report.EqualExceptLoad(r) || r.Load == o.report.Load {
 		return true
 	}
 	step := max(1, loadStep*float64(r.Slots))
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -207,7 +207,7 @@
 	s := &step{p: p, v: v, instances: map[fleet.InstanceID]*Instance{}, free: map[string][]*Instance{}}
 	owned := map[fleet.InstanceID]bool{}
 	for _, g := range v.Groups {
-		if g.Gone {
+		if g.Deleted {
 			continue
 		}
 		s.groups = append(s.groups, &groupState{Group: g})
@@ -243,7 +243,7 @@
 }
 
 func (in *Instance) leaving() bool {
-	return in.Leaving || in.Fresh && in.Report.Leaving
+	return in.Draining || in.Fresh && in.Report.Draining
 }
 
 // trackLost notes since when each instance has had no evidence.
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -78,7 +78,7 @@
 		g.ID = fleet.GroupID(fmt.Sprintf("g%d", h.next))
 		h.view.Groups = append(h.view.Groups, g)
 	case ActionEnd:
-		g.Gone = true
+		g.Deleted = true
 	}
 	g.Generation = uint64(h.next)
 	for i := range h.view.Groups {
@@ -89,7 +89,7 @@
 	}
 	for _, m := range g.Members {
 		in := h.instance(string(m.Instance))
-		if g.Gone || !in.Fresh {
+		if g.Deleted || !in.Fresh {
 			continue
 		}
 		in.Report.Phase, in.Report.Group, in.Report.Generation, in.Report.Weights = fleet.PhaseReady, g.ID, g.Generation, g.Weights
@@ -111,7 +111,7 @@
 func (h *hall) groups(template string) []fleet.Group {
 	var out []fleet.Group
 	for _, g := range h.view.Groups {
-		if !g.Gone && (template == "" || g.Template == template) {
+		if !g.Deleted && (template == "" || g.Template == template) {
 			out = append(out, g)
 		}
 	}
@@ -253,7 +253,7 @@
 	h.step(0)
 	old := h.groups("a")[0]
 	h.instance(string(old.Leader())).Report.Load = 1
-	h.instance(string(old.Members[3].Instance)).Leaving = true
+	h.instance(string(old.Members[3].Instance)).Draining = true
 	h.step(time.Second)
 	for range 4 {
 		h.step(10 * time.Second)
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -35,9 +35,9 @@
 	// and Until when that evidence ends.
 	Seen  time.Time
 	Until time.Time
-	// Leaving is set when a member is on its way out; such a target is not
-	// offered to the router.
-	Leaving bool
+	// Draining is set when a member is about to be removed; such a target is not offered to
+	// the router.
+	Draining bool
 }
 
 // Failure is a target that a request has failed on.
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -222,9 +222,9 @@
 	Address    string
 	DataCentre DataCentre
 	// Domain is the fabric domain; a group across domains is slow.
-	Domain  string
-	Slots   int
-	Leaving bool
+	Domain   string
+	Slots    int
+	Draining bool
 	// Writes counts the writes of its row in this incarnation: of two rows of one incarnation that with
 	// the smaller count is the older.
 	Writes uint64
@@ -246,11 +246,12 @@
 // Incarnation returns the incarnation that a record is of.
 func (e *Endpoint) Incarnation() Incarnation { return Incarnation{e.ID, e.StartedAt} }
 
-// Same reports whether two records of an endpoint say the same.
-func (e *Endpoint) Same(other *Endpoint) bool {
+// Equal reports whether two records describe the same state of an endpoint. The count of
+// writes is ignored.
+func (e *Endpoint) Equal(other *Endpoint) bool {
 	return e.ID == other.ID && e.StartedAt == other.StartedAt && e.Service == other.Service && e.Address == other.Address &&
 		e.DataCentre == other.DataCentre && e.Domain == other.Domain && e.Slots == other.Slots &&
-		e.Leaving == other.Leaving && e.Model == other.Model && e.Membership == other.Membership &&
+		e.Draining == other.Draining && e.Model == other.Model && e.Membership == other.Membership &&
 		slices.Equal(e.Staged, other.Staged)
 }
 
