--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -20,11 +20,11 @@
 			now := time.Now()
 			f := quarantine.Fingerprint{1}
 			teller := newBenchLoop(0)
-			var ends []quarantine.End
-			for life := range quarantine.Incarnation(quarantine.Limit) {
-				ends = append(ends, quarantine.End{Incarnation: life, At: now})
+			var ends []quarantine.Crash
+			for life := range quarantine.Incarnation(quarantine.MaxCrashes) {
+				ends = append(ends, quarantine.Crash{Incarnation: life, At: now})
 			}
-			teller.options.Quarantine.Take([]quarantine.Record{{Fingerprint: f, Ends: ends}}, "test", now)
+			teller.options.Quarantine.Merge([]quarantine.Record{{Fingerprint: f, Crashes: ends}}, "test", now)
 			for incarnation := range uint64(2) {
 				hearer := newBenchLoop(1)
 				hearer.options.Incarnation += incarnation
@@ -35,7 +35,7 @@
 				}
 				asked.Beat.Incarnation = hearer.options.Incarnation
 				hearer.takeNews(now, answerOf(teller, asked, now))
-				_, admitted := hearer.options.Quarantine.Admits(f, now)
+				_, admitted := hearer.options.Quarantine.Allowed(f, now)
 				require.False(t, admitted)
 				again := hearer.remoteMessage(now, teller.options.Self.ID, 0)
 				again.Beat.Incarnation = hearer.options.Incarnation
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -143,7 +143,7 @@
 		Address:              s.Peers,
 		DataCentre:           s.DataCentre,
 		DataCentres:          s.DataCentres,
-		Unpaced:              func() bool { return s.FirstStart && !e.relay.HasReceivedRequests() && !e.gossip.HeardRequests() },
+		Unpaced:              func() bool { return s.FirstStart && !e.relay.HasReceivedRequests() && !e.gossip.PeersHaveRequests() },
 		HolderAlive:          e.gossip.ControllerAlive,
 		OnHolderRead:         func(row lease.Row) { e.gossip.ObserveHolder(row, s.DataCentre) },
 		Rank:                 e.gossip.Rank,
@@ -161,7 +161,7 @@
 		DrainWait:            2500 * time.Millisecond,
 	}, e.store, countedEndpoints{a.Endpoints(httpClient(links), e.observe), e.metrics}, e.directory, e.gossip.Suspects)
 	e.gossip.SetController(e.controller)
-	e.directory.SetReports(e.gossip.Reports)
+	e.directory.SetReports(e.gossip.LogsEachChange)
 	if err := e.listen(a, links); err != nil {
 		return nil, err
 	}
--- a/internal/entry/suspension.go
+++ b/internal/entry/suspension.go
@@ -22,6 +22,6 @@
 	}
 	e.suspended = suspended
 	e.directory.Suspended(since)
-	e.gossip.Suspended(since)
+	e.gossip.HandleSuspension(since)
 	e.metrics.Set("suspended_seconds", suspended.Seconds())
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -21,8 +21,8 @@
 // the answer. It is asked before each attempt: others may have found meanwhile that the
 // request ends those that run it.
 func (c *call) admitted(ctx context.Context) bool {
-	c.g.crashes.Await(ctx, c.content, c.looked)
-	known, admitted := c.g.options.Quarantine.Admits(c.content, time.Now())
+	c.g.crashes.AwaitProbe(ctx, c.content, c.looked)
+	known, admitted := c.g.options.Quarantine.Allowed(c.content, time.Now())
 	if admitted {
 		return true
 	}
@@ -33,22 +33,22 @@
 // sending reports whether the request may be sent to the endpoint that was chosen; if not,
 // its caller has the answer.
 func (c *call) sending() bool {
-	if c.g.options.Quarantine.Sending(c.content, time.Now()) {
+	if c.g.options.Quarantine.BeginAttempt(c.content, time.Now()) {
 		return true
 	}
-	known, _ := c.g.options.Quarantine.Admits(c.content, time.Now())
+	known, _ := c.g.options.Quarantine.Allowed(c.content, time.Now())
 	c.failQuarantined(known)
 	return false
 }
 
 func (c *call) failQuarantined(known qlist.Record) {
-	c.log.Info("a request is not sent, being in quarantine", "content", c.content, "ends", len(known.Ends), "tried", known.Tried)
+	c.log.Info("a request is not sent, being in quarantine", "content", c.content, "ends", len(known.Crashes), "tried", known.TrialUsed)
 	c.fail(failure{
 		status:     http.StatusServiceUnavailable,
 		kind:       "quarantined",
 		message:    "requests like this one have ended the endpoints that ran them",
 		outcome:    c.notRunOutcome(),
-		retryAfter: qlist.TrialAfter,
+		retryAfter: qlist.TrialDelay,
 	})
 }
 
@@ -59,7 +59,7 @@
 
 // noteServed notes that the request does not end the endpoints that run it.
 func (c *call) noteServed() {
-	c.g.options.Quarantine.Served(c.content, time.Now())
+	c.g.options.Quarantine.RecordSuccess(c.content, time.Now())
 }
 
 // clears reports whether a plain answer shows that its endpoint lived on: one that ends with
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -78,7 +78,7 @@
 // gateway, with all its attempts.
 func TestARequestThatEndedThreeEndpointsIsNotSentOn(t *testing.T) {
 	b := newBench(t, standIn().Handler())
-	endpoints := make([]*mortal, 2*quarantine.Limit)
+	endpoints := make([]*mortal, 2*quarantine.MaxCrashes)
 	for i := range endpoints {
 		endpoints[i] = newMortal(t)
 	}
@@ -97,7 +97,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	t.Logf("%d of %d endpoints ended", ended(), len(endpoints))
-	require.Equal(t, quarantine.Limit, ended())
+	require.Equal(t, quarantine.MaxCrashes, ended())
 	require.Equal(t, http.StatusServiceUnavailable, last.StatusCode)
 	require.Equal(t, string(OutcomeNotRun), last.Header.Get(HeaderOutcome))
 	require.NotEmpty(t, last.Header.Get("Retry-After"))
@@ -111,7 +111,7 @@
 func TestAPopularRequestIsSentOn(t *testing.T) {
 	b := newBench(t, standIn().Handler())
 	sound := newMortal(t)
-	for range 2 * quarantine.Limit {
+	for range 2 * quarantine.MaxCrashes {
 		ending := newMortal(t)
 		ending.dying.Store(true)
 		b.serveBy(ending)
--- a/internal/gossip/duty.go
+++ b/internal/gossip/duty.go
@@ -102,9 +102,9 @@
 	return true
 }
 
-// Reports reports whether this node logs each change of a data centre's endpoints: its
-// controller decides on them.
-func (g *Gossiper) Reports(dataCentre serving.DataCentre) bool {
+// LogsEachChange reports whether this node logs each change of a data centre's endpoints,
+// which it does if its controller manages them.
+func (g *Gossiper) LogsEachChange(dataCentre serving.DataCentre) bool {
 	return dataCentre == g.config.DataCentre && g.controls()
 }
 
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -271,8 +271,8 @@
 // Quarantine returns what is known of requests that crash endpoints.
 func (g *Gossiper) Quarantine() *quarantine.Quarantine { return g.quarantine.list }
 
-// HeardRequests reports whether a peer told of requests that callers send.
-func (g *Gossiper) HeardRequests() bool { return g.asked.Load() }
+// PeersHaveRequests reports whether any peer has reported demand.
+func (g *Gossiper) PeersHaveRequests() bool { return g.asked.Load() }
 
 // AddSeeds makes the addresses of the settings known.
 func (g *Gossiper) AddSeeds(seeds []string) {
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -338,7 +338,7 @@
 	require.True(t, s.ControllerAlive())
 	require.NotNil(t, s.controllerOf("dc0", now))
 	require.Equal(t, 4, s.othersWork(false, nil, now).loads["e"].Running)
-	s.Suspended(5 * time.Second)
+	s.HandleSuspension(5 * time.Second)
 	require.False(t, s.ControllerAlive())
 	require.Nil(t, s.controllerOf("dc0", now))
 	require.Empty(t, s.othersWork(false, nil, now).loads)
--- a/internal/gossip/quarantinetable.go
+++ b/internal/gossip/quarantinetable.go
@@ -93,14 +93,14 @@
 		return
 	}
 	c.era, c.read = era, time.Time{}
-	c.list.Lost()
+	c.list.MarkAllUnstored()
 }
 
 // due returns what is to be written and removed now.
 func (c *quarantineTable) due() (write []qlist.Record, remove []qlist.Fingerprint) {
-	ends := qlist.Limit - 1
+	ends := qlist.MaxCrashes - 1
 	if len(c.versions) >= quarantineRows/2 {
-		ends = qlist.Limit
+		ends = qlist.MaxCrashes
 	}
 	most := min(rowsWritten, quarantineRows-len(c.versions))
 	c.noteFull(most <= 0)
@@ -157,8 +157,8 @@
 		// Another writer's: they say nothing of any request, and the others hold.
 		c.log.Error("rows of the quarantine cannot be read; they are left alone", "rows", unreadable, "first_error", firstErr)
 	}
-	c.list.Take(records, "table", now)
-	c.list.Stored(records, nil)
+	c.list.Merge(records, "table", now)
+	c.list.MarkStored(records, nil)
 	if len(records) > 0 {
 		c.log.Info("read the quarantine's table", "rows", len(page.Rows), "records", len(records), "version", page.Version)
 	}
@@ -172,9 +172,9 @@
 	if err := json.Unmarshal(text, &value); err != nil {
 		return qlist.Record{}, err
 	}
-	r := qlist.Record{Fingerprint: f, Tried: value.Tried}
+	r := qlist.Record{Fingerprint: f, TrialUsed: value.Tried}
 	for _, inc := range value.Ends {
-		r.Ends = append(r.Ends, qlist.End{Incarnation: inc, At: now})
+		r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: inc, At: now})
 	}
 	return r, nil
 }
@@ -184,8 +184,8 @@
 func (c *quarantineTable) commit(ctx context.Context, write []qlist.Record, remove []qlist.Fingerprint) bool {
 	change := table.Change{}
 	for _, r := range write {
-		value := quarantineRow{Tried: r.Tried}
-		for _, end := range r.Ends {
+		value := quarantineRow{Tried: r.TrialUsed}
+		for _, end := range r.Crashes {
 			value.Ends = append(value.Ends, end.Incarnation)
 		}
 		text, _ := json.Marshal(value) // A plain struct always encodes.
@@ -216,7 +216,7 @@
 		delete(c.versions, f)
 	}
 	c.over = slices.DeleteFunc(c.over, func(f qlist.Fingerprint) bool { return slices.Contains(remove, f) })
-	c.list.Stored(write, remove)
+	c.list.MarkStored(write, remove)
 	c.log.Info("the quarantine's table was changed", "writes", len(write), "removals", len(remove), "version", version)
 	return true
 }
--- a/internal/gossip/quarantinetable_test.go
+++ b/internal/gossip/quarantinetable_test.go
@@ -37,9 +37,9 @@
 func (k *keeper) ended(content uint64, lives ...qlist.Incarnation) {
 	r := qlist.Record{Fingerprint: contentOf(content)}
 	for _, life := range lives {
-		r.Ends = append(r.Ends, qlist.End{Incarnation: life, At: k.now})
+		r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: life, At: k.now})
 	}
-	k.list.Take([]qlist.Record{r}, "test", k.now)
+	k.list.Merge([]qlist.Record{r}, "test", k.now)
 }
 
 func contentOf(n uint64) qlist.Fingerprint {
--- a/internal/gossip/suspension.go
+++ b/internal/gossip/suspension.go
@@ -6,10 +6,10 @@
 	"github.com/ridgehinge/ridgehinge/internal/clock"
 )
 
-// Suspended makes what peers and endpoints told older, by the time for which the machine was
-// suspended: loads, who controls and relays, and who is there.
-func (g *Gossiper) Suspended(duration time.Duration) {
-	g.throttle.Suspended(duration)
+// HandleSuspension backdates what peers and endpoints reported by the time for which the
+// machine was suspended.
+func (g *Gossiper) HandleSuspension(duration time.Duration) {
+	g.throttle.HandleSuspension(duration)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -135,10 +135,9 @@
 	return b.probed
 }
 
-// Await waits for the probe of a request that broke off, if one more crash would quarantine
-// such requests. Without it the next attempt was sent before the dial was answered, and a
-// request crashed four endpoints where it may crash three.
-func (d *Detector) Await(ctx context.Context, f qlist.Fingerprint, probed <-chan struct{}) {
+// AwaitProbe waits for the probe of an endpoint whose request broke off, if one more crash
+// would quarantine the request, so that no further attempt is sent before that is decided.
+func (d *Detector) AwaitProbe(ctx context.Context, f qlist.Fingerprint, probed <-chan struct{}) {
 	if probed == nil || !d.quarantine.isBlockedByOneMore(f, time.Now()) {
 		return
 	}
--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -35,8 +35,8 @@
 }
 
 func endsOf(q *Quarantine, f qlist.Fingerprint) int {
-	r, _ := q.Admits(f, time.Now())
-	return len(r.Ends)
+	r, _ := q.Allowed(f, time.Now())
+	return len(r.Crashes)
 }
 
 func nobody() bool { return false }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -24,15 +24,15 @@
 
 // ApplyDelta merges what a peer tells, by whose word.
 func (q *Quarantine) ApplyDelta(l *delta.Cursor, told *quarantinepb.News, word string, now time.Time) {
-	q.Take(fromWire(told.GetRecords(), now), word, now)
+	q.Merge(fromWire(told.GetRecords(), now), word, now)
 	l.Advance(told.GetVersion(), told.GetSeen())
 }
 
 func toWire(records []qlist.Record, now time.Time) []*quarantinepb.Record {
 	var out []*quarantinepb.Record
 	for _, r := range records {
-		told := &quarantinepb.Record{Fingerprint: r.Fingerprint[:], Tried: r.Tried}
-		for _, end := range r.Ends {
+		told := &quarantinepb.Record{Fingerprint: r.Fingerprint[:], Tried: r.TrialUsed}
+		for _, end := range r.Crashes {
 			told.Ends = append(told.Ends, &quarantinepb.IncarnationEnd{Incarnation: uint64(end.Incarnation), AgeMs: clock.MillisAgo(end.At, now)})
 		}
 		if !r.Served.IsZero() {
@@ -48,12 +48,12 @@
 func fromWire(told []*quarantinepb.Record, now time.Time) []qlist.Record {
 	var out []qlist.Record
 	for _, t := range told {
-		r := qlist.Record{Tried: t.GetTried()}
+		r := qlist.Record{TrialUsed: t.GetTried()}
 		if copy(r.Fingerprint[:], t.GetFingerprint()) != len(r.Fingerprint) {
 			continue
 		}
 		for _, end := range t.GetEnds() {
-			r.Ends = append(r.Ends, qlist.End{Incarnation: qlist.Incarnation(end.GetIncarnation()), At: clock.AtMillisAgo(end.GetAgeMs(), now)})
+			r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: qlist.Incarnation(end.GetIncarnation()), At: clock.AtMillisAgo(end.GetAgeMs(), now)})
 		}
 		if t.ServedAgeMs != nil {
 			r.Served = clock.AtMillisAgo(t.GetServedAgeMs(), now)
--- a/internal/quarantine/gossip_test.go
+++ b/internal/quarantine/gossip_test.go
@@ -16,12 +16,12 @@
 func TestDelta_RoundTripsRecords(t *testing.T) {
 	here, there := time.Unix(5000, 0), time.Unix(90, 0)
 	told := []qlist.Record{
-		{Fingerprint: qlist.Fingerprint{1}, Ends: []qlist.End{{Incarnation: 1 << 63, At: here.Add(-time.Second)}}, Tried: true},
+		{Fingerprint: qlist.Fingerprint{1}, Crashes: []qlist.Crash{{Incarnation: 1 << 63, At: here.Add(-time.Second)}}, TrialUsed: true},
 		{Fingerprint: qlist.Fingerprint{2}, Served: here.Add(-time.Minute)},
 	}
 	heard := fromWire(toWire(told, here), there)
 	require.Equal(t, []qlist.Record{
-		{Fingerprint: qlist.Fingerprint{1}, Ends: []qlist.End{{Incarnation: 1 << 63, At: there.Add(-time.Second)}}, Tried: true},
+		{Fingerprint: qlist.Fingerprint{1}, Crashes: []qlist.Crash{{Incarnation: 1 << 63, At: there.Add(-time.Second)}}, TrialUsed: true},
 		{Fingerprint: qlist.Fingerprint{2}, Served: there.Add(-time.Minute)},
 	}, heard)
 	broken := toWire(told[:1], here)
@@ -36,12 +36,12 @@
 	var known []qlist.Record
 	for content := range byte(2 * maxDeltaRecords) {
 		r := qlist.Record{Fingerprint: qlist.Fingerprint{content}, Served: now.Add(-time.Hour)}
-		for incarnation := range qlist.Incarnation(qlist.Limit) {
-			r.Ends = append(r.Ends, qlist.End{Incarnation: 1<<63 + incarnation, At: now.Add(-time.Minute)})
+		for incarnation := range qlist.Incarnation(qlist.MaxCrashes) {
+			r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: 1<<63 + incarnation, At: now.Add(-time.Minute)})
 		}
 		known = append(known, r)
 	}
-	q.Take(known, "test", now)
+	q.Merge(known, "test", now)
 	told := q.Delta(&delta.Cursor{}, now)
 	t.Logf("%d bytes of a message with %d records of three ends", proto.Size(told), len(told.GetRecords()))
 	require.Len(t, told.GetRecords(), maxDeltaRecords)
@@ -66,13 +66,13 @@
 	south.ended(f, 3, "e3", now)
 	exchange()
 	for _, q := range []*Quarantine{north, south} {
-		_, admitted := q.Admits(f, now)
+		_, admitted := q.Allowed(f, now)
 		require.False(t, admitted)
 	}
 	exchange()
 	require.Zero(t, exchange(), "what is known is not told again")
 	south, ofSouth, ofNorth = NewQuarantine(nobody), delta.Cursor{}, delta.Cursor{}
 	exchange()
-	_, admitted := south.Admits(f, now)
+	_, admitted := south.Allowed(f, now)
 	require.False(t, admitted)
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -35,23 +35,23 @@
 	return &Quarantine{log: logging.For("quarantine"), mayTry: mayTry, list: qlist.NewList()}
 }
 
-// Admits reports whether a request of some content may be sent now, and what is known of
-// it if not. Sending asks once more, when the request has a place to go to.
-func (q *Quarantine) Admits(f qlist.Fingerprint, now time.Time) (qlist.Record, bool) {
+// Allowed reports whether a request with this fingerprint may be sent now, and if not what is
+// known of it. BeginAttempt asks again once an endpoint is chosen.
+func (q *Quarantine) Allowed(f qlist.Fingerprint, now time.Time) (qlist.Record, bool) {
 	if q.known.Load() == 0 {
 		return qlist.Record{}, true
 	}
 	q.mu.Lock()
 	r, _ := q.list.Get(f)
-	mayTry := q.list.MayTry(f, now)
+	mayTry := q.list.TrialAllowed(f, now)
 	q.mu.Unlock()
 	return r, !r.Blocked() || mayTry && q.mayTry()
 }
 
-// Sending reports whether a request that was admitted may be sent, and notes the one that is
-// sent from quarantine. Noted when it was admitted, one that then found all groups full used
-// the only try up, and such requests were refused for an hour without having been tried.
-func (q *Quarantine) Sending(f qlist.Fingerprint, now time.Time) bool {
+// BeginAttempt reports whether an allowed request may be sent, and uses up the trial of a
+// quarantined one. It is separate from Allowed so that a request that finds all groups full
+// does not use up the trial without being sent.
+func (q *Quarantine) BeginAttempt(f qlist.Fingerprint, now time.Time) bool {
 	if q.known.Load() == 0 {
 		return true
 	}
@@ -61,10 +61,10 @@
 	if !r.Blocked() {
 		return true
 	}
-	if !q.list.Try(f, now) {
+	if !q.list.StartTrial(f, now) {
 		return false
 	}
-	q.log.Info("a request is sent from quarantine, once", "content", f, "ends", len(r.Ends))
+	q.log.Info("a request is sent from quarantine, once", "content", f, "ends", len(r.Crashes))
 	return true
 }
 
@@ -77,7 +77,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r, _ := q.list.Get(f)
-	return slices.ContainsFunc(r.Ends, func(end qlist.End) bool { return end.Incarnation == incarnation && end.At.Before(at) })
+	return slices.ContainsFunc(r.Crashes, func(end qlist.Crash) bool { return end.Incarnation == incarnation && end.At.Before(at) })
 }
 
 // isBlockedByOneMore reports whether requests of some content are not sent any more once
@@ -89,14 +89,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r, _ := q.list.Get(f)
-	return r.BlockedByOneMore(now)
+	return r.BlockedAfterNextCrash(now)
 }
 
-// Served notes that a request was answered whole.
-func (q *Quarantine) Served(f qlist.Fingerprint, now time.Time) {
+// RecordSuccess records that a request was answered completely.
+func (q *Quarantine) RecordSuccess(f qlist.Fingerprint, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.list.Served(f, now)
+	q.list.RecordSuccess(f, now)
 }
 
 // ended notes that an endpoint's incarnation has ended while it ran a request.
@@ -104,7 +104,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	before, _ := q.list.Get(f)
-	if !q.list.Ended(f, incarnation, now) {
+	if !q.list.RecordCrash(f, incarnation, now) {
 		return
 	}
 	q.known.Store(int64(q.list.Len()))
@@ -116,17 +116,17 @@
 
 // logBlocked logs that requests of some content are not sent any more, by whose word.
 func (q *Quarantine) logBlocked(r qlist.Record, word string, now time.Time) {
-	q.log.Warn("a request is in quarantine", "content", r.Fingerprint, "ends", len(r.Ends), "first_age", now.Sub(r.Ends[0].At), "word", word)
+	q.log.Warn("a request is in quarantine", "content", r.Fingerprint, "ends", len(r.Crashes), "first_age", now.Sub(r.Crashes[0].At), "word", word)
 }
 
-// Take merges what another node or the table knows.
-func (q *Quarantine) Take(records []qlist.Record, word string, now time.Time) {
+// Merge adds the records of another node or of the table.
+func (q *Quarantine) Merge(records []qlist.Record, word string, now time.Time) {
 	if len(records) == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, r := range q.list.Take(records, now) {
+	for _, r := range q.list.Merge(records, now) {
 		q.logBlocked(r, word, now)
 	}
 	q.known.Store(int64(q.list.Len()))
@@ -154,19 +154,19 @@
 	return q.list.Unstored(ends, most)
 }
 
-// Stored notes what the platform's table holds, and which rows it has no more.
-func (q *Quarantine) Stored(held []qlist.Record, removed []qlist.Fingerprint) {
+// MarkStored records which rows the platform's table holds, and which it no longer has.
+func (q *Quarantine) MarkStored(held []qlist.Record, removed []qlist.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.list.Stored(held)
-	q.list.Removed(removed)
+	q.list.MarkStored(held)
+	q.list.MarkRemoved(removed)
 }
 
-// Lost notes that the platform's table may hold nothing of what it held.
-func (q *Quarantine) Lost() {
+// MarkAllUnstored records that the platform's table may have lost all its rows.
+func (q *Quarantine) MarkAllUnstored() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.list.Lost()
+	q.list.MarkAllUnstored()
 }
 
 // Expire drops what is over and returns of what the table has a row.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,24 +15,24 @@
 	q := NewQuarantine(func() bool { return true })
 	f := qlist.Fingerprint{1}
 	now := time.Now()
-	for incarnation := range qlist.Incarnation(qlist.Limit) {
+	for incarnation := range qlist.Incarnation(qlist.MaxCrashes) {
 		q.ended(f, incarnation, "e", now)
 	}
 	admits := func() bool {
-		_, admitted := q.Admits(f, now)
+		_, admitted := q.Allowed(f, now)
 		return admitted
 	}
 	require.False(t, admits())
-	now = now.Add(qlist.TrialAfter)
+	now = now.Add(qlist.TrialDelay)
 	for range 3 {
 		require.True(t, admits(), "none was sent yet")
 	}
-	require.True(t, q.Sending(f, now))
-	require.False(t, q.Sending(f, now), "one is sent")
+	require.True(t, q.BeginAttempt(f, now))
+	require.False(t, q.BeginAttempt(f, now), "one is sent")
 	require.False(t, admits())
-	q.Served(f, now.Add(time.Second))
+	q.RecordSuccess(f, now.Add(time.Second))
 	require.True(t, admits())
-	require.True(t, q.Sending(f, now.Add(time.Second)))
+	require.True(t, q.BeginAttempt(f, now.Add(time.Second)))
 }
 
 // Of all nodes one sends a request from quarantine.
@@ -40,9 +40,9 @@
 	q := NewQuarantine(nobody)
 	f := qlist.Fingerprint{1}
 	now := time.Now()
-	for incarnation := range qlist.Incarnation(qlist.Limit) {
+	for incarnation := range qlist.Incarnation(qlist.MaxCrashes) {
 		q.ended(f, incarnation, "e", now)
 	}
-	_, admitted := q.Admits(f, now.Add(qlist.TrialAfter))
+	_, admitted := q.Allowed(f, now.Add(qlist.TrialDelay))
 	require.False(t, admitted)
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -87,7 +87,7 @@
 		c.options.Metrics.Inc("requests_held_back", map[string]string{"by": hold.String()})
 		return heldError("the endpoint is held: " + hold.String())
 	}
-	if !c.options.Quarantine.Sending(c.content, now) {
+	if !c.options.Quarantine.BeginAttempt(c.content, now) {
 		return errQuarantined
 	}
 	return nil
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -89,7 +89,7 @@
 
 // noPlain is why a request to a plain service has no target.
 func (c *call) noPlain(endpoints []*serving.Endpoint, now time.Time) refusal {
-	isHeld := func(e *serving.Endpoint) bool { return c.options.Throttle.Hold(e, now).Ends() }
+	isHeld := func(e *serving.Endpoint) bool { return c.options.Throttle.Hold(e, now).Temporary() }
 	if !slices.ContainsFunc(endpoints, isHeld) {
 		return refusal{cause: causeNoEndpoint, after: defaultRetryAfter}
 	}
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -40,8 +40,8 @@
 }
 
 func endsOf(q *quarantine.Quarantine, f qlist.Fingerprint) int {
-	r, _ := q.Admits(f, time.Now())
-	return len(r.Ends)
+	r, _ := q.Allowed(f, time.Now())
+	return len(r.Crashes)
 }
 
 // crashing is an endpoint whose process ends when it has begun to answer.
@@ -81,17 +81,17 @@
 	all := w.view.Heads[pool]
 	poison := request(hostStream)
 	f := qlist.FingerprintOf([]byte("bakery"), []byte(poison.Host), []byte(poison.Method), []byte(poison.URI), poison.Body)
-	for i := range qlist.Limit {
+	for i := range qlist.MaxCrashes {
 		w.view.Heads[pool] = all[i : i+1]
 		require.NotEqual(t, http.StatusServiceUnavailable, w.serve(poison).status)
 		require.Len(t, heads[i].arrivals(), 1)
 		require.Eventually(t, func() bool { return endsOf(w.relay.options.Quarantine, f) == i+1 }, patience, time.Millisecond)
 	}
-	w.view.Heads[pool] = all[qlist.Limit:]
+	w.view.Heads[pool] = all[qlist.MaxCrashes:]
 	out := w.serve(poison)
 	require.Equal(t, http.StatusServiceUnavailable, out.status)
 	require.Equal(t, quarantineRetryAfter.String(), out.header.Get("After"))
-	require.Empty(t, heads[qlist.Limit].arrivals())
+	require.Empty(t, heads[qlist.MaxCrashes].arrivals())
 	innocent := request(hostStream)
 	innocent.URI += "&other"
 	require.Equal(t, http.StatusOK, w.serve(innocent).status)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -113,7 +113,7 @@
 	stoppingRetryAfter = 50 * time.Millisecond
 	// quarantineRetryAfter is when a request that ends endpoints may be tried again: its
 	// caller's next tries would be refused as well.
-	quarantineRetryAfter = quarantine.TrialAfter
+	quarantineRetryAfter = quarantine.TrialDelay
 	// defaultRetryAfter leaves time for a group to be repaired.
 	defaultRetryAfter = 300 * time.Millisecond
 )
@@ -283,11 +283,11 @@
 // admitted reports whether the request may be sent to an endpoint. It is asked before each
 // attempt: others may have found meanwhile that the request ends those that run it.
 func (c *call) admitted(ctx context.Context) bool {
-	c.crashes.Await(ctx, c.content, c.crashProbe)
-	known, admitted := c.options.Quarantine.Admits(c.content, time.Now())
+	c.crashes.AwaitProbe(ctx, c.content, c.crashProbe)
+	known, admitted := c.options.Quarantine.Allowed(c.content, time.Now())
 	if !admitted {
 		c.log.Info("a request is not sent, being in quarantine", "request", c.attrs.ID, "content", c.content,
-			"ends", len(known.Ends), "last_age", time.Since(known.Ends[len(known.Ends)-1].At), "tried", known.Tried)
+			"ends", len(known.Crashes), "last_age", time.Since(known.Crashes[len(known.Crashes)-1].At), "tried", known.TrialUsed)
 	}
 	return admitted
 }
--- a/internal/relay/whole.go
+++ b/internal/relay/whole.go
@@ -71,7 +71,7 @@
 // its own end: one that ends with its connection ends like that also when the endpoint does.
 func (c *call) clear(response *upstream.Response, now time.Time) {
 	if response.Marked {
-		c.options.Quarantine.Served(c.content, now)
+		c.options.Quarantine.RecordSuccess(c.content, now)
 	}
 }
 
--- a/internal/throttle/cooldown_test.go
+++ b/internal/throttle/cooldown_test.go
@@ -49,7 +49,7 @@
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	tracker.Observe(cooldown(10*time.Second), now)
-	tracker.Suspended(8 * time.Second)
+	tracker.HandleSuspension(8 * time.Second)
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, now.Add(1900*time.Millisecond)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, now.Add(2300*time.Millisecond)))
 }
--- a/internal/throttle/hold.go
+++ b/internal/throttle/hold.go
@@ -24,8 +24,8 @@
 // String returns the name for logs and metrics.
 func (h Hold) String() string { return [...]string{"none", "draining", "cooldown", "rate_limit"}[h] }
 
-// Ends reports whether there is a hold that ends while the endpoint serves on.
-func (h Hold) Ends() bool { return h == HoldCooldown || h == HoldRateLimit }
+// Temporary reports whether the hold expires while the endpoint keeps serving.
+func (h Hold) Temporary() bool { return h == HoldCooldown || h == HoldRateLimit }
 
 // Hold returns why an endpoint may be sent nothing now.
 func (t *Tracker) Hold(e *serving.Endpoint, now time.Time) Hold {
--- a/internal/throttle/tracker.go
+++ b/internal/throttle/tracker.go
@@ -167,11 +167,11 @@
 	}
 }
 
-// Suspended makes what endpoints said older by the time for which the machine was suspended.
-func (t *Tracker) Suspended(by time.Duration) {
+// HandleSuspension backdates what endpoints said by the time the machine was suspended.
+func (t *Tracker) HandleSuspension(by time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.registry.Age(by)
+	t.registry.Backdate(by)
 	for id, until := range t.cooldowns {
 		t.cooldowns[id] = until.Add(-by)
 	}
--- a/pkg/advisory/registry.go
+++ b/pkg/advisory/registry.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// Age makes all that was said older, as after a suspension of the machine.
-func (r *Registry) Age(by time.Duration) {
+// Backdate makes all statements older, as after a suspension of the machine.
+func (r *Registry) Backdate(by time.Duration) {
 	for _, e := range r.records {
 		e.limit.At = e.limit.At.Add(-by)
 		e.listed = e.listed.Add(-by)
--- a/pkg/quarantine/list.go
+++ b/pkg/quarantine/list.go
@@ -19,9 +19,9 @@
 	// clearedFor is how long a record is kept whose requests were served since: until
 	// all nodes have heard of that.
 	clearedFor = time.Minute
-	// TrialAfter is how long a request is in quarantine before one of it may be sent to
-	// see whether it still ends endpoints: an outage that ended several has passed.
-	TrialAfter = 30 * time.Second
+	// TrialDelay is how long a request is in quarantine before one may be sent to see whether
+	// it still crashes endpoints.
+	TrialDelay = 30 * time.Second
 )
 
 // List is what one node knows of requests that ended endpoints.
@@ -73,19 +73,19 @@
 	return e.clone(), true
 }
 
-// Ended notes that an endpoint's incarnation has ended while it ran a request, and reports
-// whether that is news.
-func (l *List) Ended(f Fingerprint, incarnation Incarnation, now time.Time) bool {
+// RecordCrash records that an endpoint's incarnation crashed while it ran a request, and
+// reports whether this was unknown.
+func (l *List) RecordCrash(f Fingerprint, incarnation Incarnation, now time.Time) bool {
 	e := l.entry(f, now)
-	if !e.addEnd(End{incarnation, now}) {
+	if !e.addEnd(Crash{incarnation, now}) {
 		return false
 	}
 	l.changed(e, now)
 	return true
 }
 
-// Served notes that a request was answered whole.
-func (l *List) Served(f Fingerprint, now time.Time) {
+// RecordSuccess records that a request was answered completely.
+func (l *List) RecordSuccess(f Fingerprint, now time.Time) {
 	e := l.records[f]
 	if e == nil {
 		l.served.note(f, now)
@@ -98,26 +98,26 @@
 	}
 }
 
-// MayTry reports whether a request that is blocked may be sent once.
-func (l *List) MayTry(f Fingerprint, now time.Time) bool {
+// TrialAllowed reports whether a blocked request may be sent once.
+func (l *List) TrialAllowed(f Fingerprint, now time.Time) bool {
 	e := l.records[f]
-	return e != nil && !e.Tried && now.Sub(e.lastEnd()) >= TrialAfter
+	return e != nil && !e.TrialUsed && now.Sub(e.lastEnd()) >= TrialDelay
 }
 
-// Try notes that a request that is blocked is sent, and reports whether it may be.
-func (l *List) Try(f Fingerprint, now time.Time) bool {
-	if !l.MayTry(f, now) {
+// StartTrial records that a blocked request is sent, and reports whether it may be.
+func (l *List) StartTrial(f Fingerprint, now time.Time) bool {
+	if !l.TrialAllowed(f, now) {
 		return false
 	}
 	e := l.records[f]
-	e.Tried = true
+	e.TrialUsed = true
 	l.changed(e, now)
 	return true
 }
 
-// Take merges what another node or the table knows, and returns the records that are
-// blocked since.
-func (l *List) Take(records []Record, now time.Time) []Record {
+// Merge adds what another node or the table knows, and returns the records that became
+// blocked by it.
+func (l *List) Merge(records []Record, now time.Time) []Record {
 	var blocked []Record
 	for _, r := range records {
 		e := l.entry(r.Fingerprint, now)
@@ -147,7 +147,7 @@
 		}
 	}
 	slices.SortFunc(changed, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(a.version, b.version))
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(a.version, b.version))
 	})
 	worst := min(most/2, len(changed))
 	slices.SortFunc(changed[worst:], func(a, b *entry) int { return cmp.Compare(a.version, b.version) })
@@ -208,7 +208,7 @@
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Ends), len(b.Ends)), a.changedAt.Compare(b.changedAt))
+		return cmp.Or(cmp.Compare(len(a.Crashes), len(b.Crashes)), a.changedAt.Compare(b.changedAt))
 	})
 	for _, e := range all[:maxRecords/evictPart] {
 		delete(l.records, e.Fingerprint)
--- a/pkg/quarantine/list_test.go
+++ b/pkg/quarantine/list_test.go
@@ -48,10 +48,10 @@
 			l := NewList()
 			for _, s := range test.steps {
 				if s.served {
-					l.Served(content(1), at(s.at))
+					l.RecordSuccess(content(1), at(s.at))
 					continue
 				}
-				l.Ended(content(1), s.end, at(s.at))
+				l.RecordCrash(content(1), s.end, at(s.at))
 			}
 			require.Equal(t, test.want, blocked(l, 1))
 			require.False(t, blocked(l, 2))
@@ -63,15 +63,15 @@
 func swap(a, b *List, now time.Time) {
 	fromA, _ := a.Changes(0, maxRecords)
 	fromB, _ := b.Changes(0, maxRecords)
-	a.Take(fromB, now)
-	b.Take(fromA, now)
+	a.Merge(fromB, now)
+	b.Merge(fromA, now)
 }
 
 // Each of three nodes saw one end. What they tell each other counts once, in any order.
 func TestEndsThatDifferentNodesSawCountTogether(t *testing.T) {
 	lists := []*List{NewList(), NewList(), NewList()}
 	for i, l := range lists {
-		l.Ended(content(1), Incarnation(i+1), at(float64(i)))
+		l.RecordCrash(content(1), Incarnation(i+1), at(float64(i)))
 	}
 	swap(lists[0], lists[1], at(3))
 	swap(lists[0], lists[1], at(3))
@@ -87,27 +87,27 @@
 // A node that has served a request tells those that only saw it at endpoints that ended.
 func TestThatARequestWasServedClearsItEverywhere(t *testing.T) {
 	saw, served := NewList(), NewList()
-	served.Served(content(1), at(0))
+	served.RecordSuccess(content(1), at(0))
 	for i := range 3 {
-		saw.Ended(content(1), Incarnation(i+1), at(1))
+		saw.RecordCrash(content(1), Incarnation(i+1), at(1))
 	}
 	require.True(t, blocked(saw, 1))
 	swap(saw, served, at(1.1))
 	swap(saw, served, at(1.2))
 	require.False(t, blocked(saw, 1), "three at one moment, of a request that was served before")
-	served.Served(content(1), at(2))
+	served.RecordSuccess(content(1), at(2))
 	swap(saw, served, at(2.1))
 	r, _ := saw.Get(content(1))
-	require.Empty(t, r.Ends)
+	require.Empty(t, r.Crashes)
 	require.Equal(t, at(2), r.Served)
 }
 
 func TestNewsIsToldOnceAndTheWorstFirst(t *testing.T) {
 	l := NewList()
 	for i := range uint64(10) {
-		l.Ended(content(i), 1, at(float64(i)))
+		l.RecordCrash(content(i), 1, at(float64(i)))
 	}
-	l.Ended(content(7), 2, at(20))
+	l.RecordCrash(content(7), 2, at(20))
 	told, until := l.Changes(0, 4)
 	require.Equal(t, content(7), told[0].Fingerprint)
 	require.Len(t, told, 4)
@@ -122,9 +122,9 @@
 	require.Empty(t, told)
 	other := NewList()
 	all, _ := l.Changes(0, maxRecords)
-	other.Take(all, at(21))
+	other.Merge(all, at(21))
 	_, version := other.Changes(0, maxRecords)
-	other.Take(all, at(22))
+	other.Merge(all, at(22))
 	told, _ = other.Changes(version, maxRecords)
 	require.Empty(t, told, "what was known is no news")
 }
@@ -136,12 +136,12 @@
 func TestManyWithTwoEndsKeepNoNewsBack(t *testing.T) {
 	const inMessage = 4
 	l := NewList()
-	l.Ended(content(100), 1, at(0))
-	l.Ended(content(101), 1, at(0))
-	l.Served(content(101), at(1))
+	l.RecordCrash(content(100), 1, at(0))
+	l.RecordCrash(content(101), 1, at(0))
+	l.RecordSuccess(content(101), at(1))
 	for incarnation := range Incarnation(2) {
 		for i := range uint64(5 * inMessage) {
-			l.Ended(content(i), incarnation, at(2+float64(incarnation)))
+			l.RecordCrash(content(i), incarnation, at(2+float64(incarnation)))
 		}
 	}
 	seen := map[Fingerprint]bool{}
@@ -163,67 +163,67 @@
 func TestOneRequestIsTriedAfterAWhile(t *testing.T) {
 	l := NewList()
 	for i := range 3 {
-		l.Ended(content(1), Incarnation(i+1), at(0))
+		l.RecordCrash(content(1), Incarnation(i+1), at(0))
 	}
-	require.False(t, l.Try(content(1), at(1)))
-	require.True(t, l.Try(content(1), at(31)))
-	require.False(t, l.Try(content(1), at(32)))
+	require.False(t, l.StartTrial(content(1), at(1)))
+	require.True(t, l.StartTrial(content(1), at(31)))
+	require.False(t, l.StartTrial(content(1), at(32)))
 	other := NewList()
 	swap(l, other, at(32))
-	require.False(t, other.Try(content(1), at(100)))
-	l.Served(content(1), at(33))
+	require.False(t, other.StartTrial(content(1), at(100)))
+	l.RecordSuccess(content(1), at(33))
 	swap(l, other, at(33))
 	require.False(t, blocked(other, 1))
-	require.False(t, l.Try(content(2), at(100)), "nothing is known of it")
+	require.False(t, l.StartTrial(content(2), at(100)), "nothing is known of it")
 }
 
 func TestWhatTheTableIsToHold(t *testing.T) {
 	l := NewList()
-	l.Ended(content(1), 1, at(0))
-	write, remove := l.Unstored(Limit-1, 10)
+	l.RecordCrash(content(1), 1, at(0))
+	write, remove := l.Unstored(MaxCrashes-1, 10)
 	require.Empty(t, write)
 	require.Empty(t, remove)
-	l.Ended(content(1), 2, at(1))
-	write, _ = l.Unstored(Limit-1, 10)
+	l.RecordCrash(content(1), 2, at(1))
+	write, _ = l.Unstored(MaxCrashes-1, 10)
 	require.Len(t, write, 1)
-	l.Stored(write)
-	write, _ = l.Unstored(Limit-1, 10)
+	l.MarkStored(write)
+	write, _ = l.Unstored(MaxCrashes-1, 10)
 	require.Empty(t, write)
-	l.Ended(content(1), 3, at(2))
-	write, _ = l.Unstored(Limit-1, 10)
+	l.RecordCrash(content(1), 3, at(2))
+	write, _ = l.Unstored(MaxCrashes-1, 10)
 	require.Len(t, write, 1)
-	l.Stored(write)
-	l.Ended(content(1), 4, at(3))
-	write, _ = l.Unstored(Limit-1, 10)
+	l.MarkStored(write)
+	l.RecordCrash(content(1), 4, at(3))
+	write, _ = l.Unstored(MaxCrashes-1, 10)
 	require.Empty(t, write, "that it is blocked is there already")
-	require.True(t, l.Try(content(1), at(60)))
-	write, _ = l.Unstored(Limit-1, 10)
+	require.True(t, l.StartTrial(content(1), at(60)))
+	write, _ = l.Unstored(MaxCrashes-1, 10)
 	require.Len(t, write, 1, "that it was tried must last")
-	l.Stored(write)
-	l.Served(content(1), at(61))
-	write, remove = l.Unstored(Limit-1, 10)
+	l.MarkStored(write)
+	l.RecordSuccess(content(1), at(61))
+	write, remove = l.Unstored(MaxCrashes-1, 10)
 	require.Empty(t, write)
 	require.Equal(t, []Fingerprint{content(1)}, remove)
-	l.Removed(remove)
-	_, remove = l.Unstored(Limit-1, 10)
+	l.MarkRemoved(remove)
+	_, remove = l.Unstored(MaxCrashes-1, 10)
 	require.Empty(t, remove)
 }
 
 func TestRecordsEnd(t *testing.T) {
 	l := NewList()
-	l.Ended(content(1), 1, at(0))
-	l.Ended(content(1), 2, at(1))
-	write, _ := l.Unstored(Limit-1, 10)
-	l.Stored(write)
-	l.Ended(content(2), 1, at(0))
-	l.Served(content(2), at(1))
+	l.RecordCrash(content(1), 1, at(0))
+	l.RecordCrash(content(1), 2, at(1))
+	write, _ := l.Unstored(MaxCrashes-1, 10)
+	l.MarkStored(write)
+	l.RecordCrash(content(2), 1, at(0))
+	l.RecordSuccess(content(2), at(1))
 	require.Empty(t, l.Expire(at(2)))
 	require.Equal(t, 2, l.Len())
 	require.Empty(t, l.Expire(at(1).Add(clearedFor+time.Second)))
 	require.Equal(t, 1, l.Len())
 	require.Equal(t, []Fingerprint{content(1)}, l.Expire(at(1).Add(keepFor+time.Second)))
 	require.Zero(t, l.Len())
-	l.Ended(content(2), 3, at(90))
+	l.RecordCrash(content(2), 3, at(90))
 	r, _ := l.Get(content(2))
 	require.False(t, r.Served.IsZero(), "that it was served is still known")
 }
@@ -236,13 +236,13 @@
 	runtime.ReadMemStats(&before)
 	l := NewList()
 	for incarnation := range Incarnation(3) {
-		l.Ended(content(1), incarnation, at(0))
+		l.RecordCrash(content(1), incarnation, at(0))
 	}
 	const flood = 20 * maxRecords
 	for i := range uint64(flood) {
-		l.Ended(content(i+10), 1, at(1))
-		l.Served(content(i+10+flood), at(1))
-		l.Ended(content(i+10), 2, at(1))
+		l.RecordCrash(content(i+10), 1, at(1))
+		l.RecordSuccess(content(i+10+flood), at(1))
+		l.RecordCrash(content(i+10), 2, at(1))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -8,8 +8,8 @@
 // Incarnation names one incarnation of an endpoint.
 type Incarnation uint64
 
-// End is the end of an endpoint while it ran a request.
-type End struct {
+// Crash is a crash of an endpoint while it ran a request.
+type Crash struct {
 	Incarnation Incarnation
 	At          time.Time
 }
@@ -17,21 +17,21 @@
 // Record is what is known of the requests of one content.
 type Record struct {
 	Fingerprint Fingerprint
-	// Ends are those of different incarnations since the request was last served, in the order
-	// of their times.
-	Ends []End
+	// Crashes are those of different incarnations since the request last succeeded, ordered
+	// by time.
+	Crashes []Crash
 	// Served is when such a request was last answered whole; zero is never.
 	Served time.Time
-	// Tried is set once such a request was sent from quarantine to see whether it still
-	// ends endpoints.
-	Tried bool
+	// TrialUsed is set once such a request was sent from quarantine to see whether it still
+	// crashes endpoints.
+	TrialUsed bool
 }
 
 const (
-	// Limit is the number of endpoints that a request may end. Users allow three more
-	// sends from three seconds after the third; with two, streams that go on at another
-	// endpoint beside the request that ended theirs would be taken for it.
-	Limit = 3
+	// MaxCrashes is the number of crashes after which a request is quarantined. With two,
+	// streams that were resumed at another endpoint beside the request that crashed theirs
+	// would be quarantined with it.
+	MaxCrashes = 3
 	// maxEnds bounds the ends that are kept of one record: more tell nothing.
 	maxEnds = 8
 	// waveSpan is within what time ends count as one of a request that was served
@@ -43,16 +43,16 @@
 // Blocked reports whether requests of the record are not to be sent.
 func (r *Record) Blocked() bool {
 	if r.Served.IsZero() {
-		return len(r.Ends) >= Limit
+		return len(r.Crashes) >= MaxCrashes
 	}
-	return r.waves() >= Limit
+	return r.waves() >= MaxCrashes
 }
 
-// BlockedByOneMore reports whether requests of the record are not to be sent once an endpoint
-// has ended under one now.
-func (r *Record) BlockedByOneMore(now time.Time) bool {
+// BlockedAfterNextCrash reports whether the record is blocked if an endpoint crashes under
+// such a request now.
+func (r *Record) BlockedAfterNextCrash(now time.Time) bool {
 	next := r.clone()
-	next.Ends = append(next.Ends, End{At: now})
+	next.Crashes = append(next.Crashes, Crash{At: now})
 	return next.Blocked()
 }
 
@@ -60,7 +60,7 @@
 func (r *Record) waves() int {
 	waves := 0
 	var wave time.Time
-	for _, end := range r.Ends {
+	for _, end := range r.Crashes {
 		if waves == 0 || end.At.Sub(wave) >= waveSpan {
 			waves++
 			wave = end.At
@@ -70,31 +70,31 @@
 }
 
 // cleared reports whether the request was served after all of its ends.
-func (r *Record) cleared() bool { return len(r.Ends) == 0 }
+func (r *Record) cleared() bool { return len(r.Crashes) == 0 }
 
 // lastEnd returns when an endpoint last ended, zero if none has.
 func (r *Record) lastEnd() time.Time {
-	if len(r.Ends) == 0 {
+	if len(r.Crashes) == 0 {
 		return time.Time{}
 	}
-	return r.Ends[len(r.Ends)-1].At
+	return r.Crashes[len(r.Crashes)-1].At
 }
 
 // addEnd adds an end and reports whether it is a new one that counts.
-func (r *Record) addEnd(end End) bool {
-	known := func(other End) bool { return other.Incarnation == end.Incarnation }
-	if len(r.Ends) >= maxEnds || !end.At.After(r.Served) || slices.ContainsFunc(r.Ends, known) {
+func (r *Record) addEnd(end Crash) bool {
+	known := func(other Crash) bool { return other.Incarnation == end.Incarnation }
+	if len(r.Crashes) >= maxEnds || !end.At.After(r.Served) || slices.ContainsFunc(r.Crashes, known) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.Ends, end, func(a, b End) int { return a.At.Compare(b.At) })
-	r.Ends = slices.Insert(r.Ends, at, end)
+	at, _ := slices.BinarySearchFunc(r.Crashes, end, func(a, b Crash) int { return a.At.Compare(b.At) })
+	r.Crashes = slices.Insert(r.Crashes, at, end)
 	return true
 }
 
 // serve notes when the request was served; ends before say nothing against it any more.
 func (r *Record) serve(at time.Time) {
 	r.Served = at
-	r.Ends = slices.DeleteFunc(r.Ends, func(end End) bool { return !end.At.After(at) })
+	r.Crashes = slices.DeleteFunc(r.Crashes, func(end Crash) bool { return !end.At.After(at) })
 }
 
 // ageSlack is by how much the time of an answer may differ between nodes without being
@@ -109,11 +109,11 @@
 		r.serve(other.Served)
 		news = true
 	}
-	for _, end := range other.Ends {
+	for _, end := range other.Crashes {
 		news = r.addEnd(end) || news
 	}
-	if other.Tried && !r.Tried {
-		r.Tried = true
+	if other.TrialUsed && !r.TrialUsed {
+		r.TrialUsed = true
 		news = true
 	}
 	return news
@@ -122,6 +122,6 @@
 // clone returns a copy that shares nothing.
 func (r *Record) clone() Record {
 	out := *r
-	out.Ends = slices.Clone(r.Ends)
+	out.Crashes = slices.Clone(r.Crashes)
 	return out
 }
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -8,37 +8,37 @@
 // since such requests were served.
 func (l *List) Unstored(ends, most int) (write []Record, remove []Fingerprint) {
 	for f, e := range l.records {
-		lacks := e.stored < min(len(e.Ends), Limit) || e.Tried && !e.storedTried
+		lacks := e.stored < min(len(e.Crashes), MaxCrashes) || e.TrialUsed && !e.storedTried
 		switch {
 		case e.inTable && e.cleared():
 			remove = append(remove, f)
-		case len(write) < most && !e.cleared() && len(e.Ends) >= ends && lacks:
+		case len(write) < most && !e.cleared() && len(e.Crashes) >= ends && lacks:
 			write = append(write, e.clone())
 		}
 	}
 	return write, remove
 }
 
-// Stored notes that the table has rows of these records, as they are given.
-func (l *List) Stored(records []Record) {
+// MarkStored records that the table has rows of these records as given.
+func (l *List) MarkStored(records []Record) {
 	for _, r := range records {
 		if e := l.records[r.Fingerprint]; e != nil {
 			e.inTable = true
-			e.stored = max(e.stored, len(r.Ends))
-			e.storedTried = e.storedTried || r.Tried
+			e.stored = max(e.stored, len(r.Crashes))
+			e.storedTried = e.storedTried || r.TrialUsed
 		}
 	}
 }
 
-// Lost notes that the table may hold none of the rows that it had.
-func (l *List) Lost() {
+// MarkAllUnstored records that the table may have lost all rows that it had.
+func (l *List) MarkAllUnstored() {
 	for _, e := range l.records {
 		e.inTable, e.stored, e.storedTried = false, 0, false
 	}
 }
 
-// Removed notes that the table has no rows of these contents any more.
-func (l *List) Removed(contents []Fingerprint) {
+// MarkRemoved records that the table no longer has rows of these fingerprints.
+func (l *List) MarkRemoved(contents []Fingerprint) {
 	for _, f := range contents {
 		if e := l.records[f]; e != nil {
 			e.inTable, e.stored, e.storedTried = false, 0, false
