--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -32,12 +32,12 @@
 // New returns a clock of this machine.
 func New() *Clock {
 	start := time.Now()
-	return NewOf(bootTime, func() time.Duration { return time.Since(start) })
+	return NewFromSources(bootTime, func() time.Duration { return time.Since(start) })
 }
 
-// NewOf returns a clock of other sources: the time since the machine started, and the time
-// since the clock was made in which it ran.
-func NewOf(boot func() (time.Duration, error), running func() time.Duration) *Clock {
+// NewFromSources returns a clock that reads the time since the machine started, and the time
+// since the clock was made during which the machine ran, from the given sources.
+func NewFromSources(boot func() (time.Duration, error), running func() time.Duration) *Clock {
 	c := &Clock{boot: boot, running: running}
 	began, err := boot()
 	if err != nil {
@@ -94,9 +94,9 @@
 	}
 }
 
-// Age moves a time back, unless it is none: for times that were taken by a clock which does
+// Backdate moves a time back unless it is zero. It corrects times taken by a clock that does
 // not count suspensions.
-func Age(at *time.Time, by time.Duration) {
+func Backdate(at *time.Time, by time.Duration) {
 	if !at.IsZero() {
 		*at = at.Add(-by)
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -18,7 +18,7 @@
 }
 
 func (m *machine) clock() *Clock {
-	return NewOf(
+	return NewFromSources(
 		func() (time.Duration, error) { return time.Hour + m.running + m.suspended, m.err },
 		func() time.Duration { return m.running },
 	)
--- a/internal/clock/emulated.go
+++ b/internal/clock/emulated.go
@@ -16,7 +16,7 @@
 		at, err := bootTime()
 		return at + suspendedBy(file), err
 	}
-	return NewOf(boot, func() time.Duration { return time.Since(start) })
+	return NewFromSources(boot, func() time.Duration { return time.Since(start) })
 }
 
 func suspendedBy(file string) time.Duration {
--- a/internal/directory/configuration.go
+++ b/internal/directory/configuration.go
@@ -24,17 +24,17 @@
 	d.configurationAnswered = now
 }
 
-// ConfigurationAnswered returns when the store last answered this node about the
-// configuration, or when the node started. One that does not watch it relies on its relay.
-func (d *Directory) ConfigurationAnswered() time.Time {
+// LastConfigurationAnswer returns when the store last answered this node about the
+// configuration, or when the node started. A node that does not watch it relies on its relay.
+func (d *Directory) LastConfigurationAnswer() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.configurationAnswered
 }
 
-// TakeConfiguration takes a configuration from the store or a peer. An older
-// one than that in force is left aside, whoever brings it.
-func (d *Directory) TakeConfiguration(value []byte, source string) {
+// ApplyConfiguration applies a configuration from the store or a peer, unless it is older than
+// the current one.
+func (d *Directory) ApplyConfiguration(value []byte, source string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if bytes.Equal(value, d.configurationRow) {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -164,9 +164,9 @@
 	return d.view.Load()
 }
 
-// TakeTable takes a read of the whole endpoint table as of a version; what it
-// does not have is gone.
-func (d *Directory) TakeTable(rows []table.Row, version uint64, now time.Time) {
+// ApplySnapshot replaces the endpoint table by a complete read of it as of a version; rows
+// that are not in it are removed.
+func (d *Directory) ApplySnapshot(rows []table.Row, version uint64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	listed := map[serving.EndpointID]bool{}
@@ -185,9 +185,8 @@
 	}
 }
 
-// TakeChanges takes the endpoint rows that have changed after one version, up
-// to another.
-func (d *Directory) TakeChanges(rows []table.Row, since, version uint64, now time.Time) {
+// ApplyChanges applies the endpoint rows that changed after version since, up to version.
+func (d *Directory) ApplyChanges(rows []table.Row, since, version uint64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if table.Era(version) < table.Era(d.covered) {
@@ -218,9 +217,9 @@
 	}
 }
 
-// Covered returns the version up to which the endpoint table is known, and
-// when it last rose.
-func (d *Directory) Covered() (version uint64, at time.Time) {
+// TableVersion returns the version up to which the endpoint table is known, and when it
+// last rose.
+func (d *Directory) TableVersion() (version uint64, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.covered, d.coveredAt
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -25,7 +25,7 @@
 		version++
 		value, err := json.Marshal(serving.Endpoint{ID: "e", Membership: m, Model: model})
 		require.NoError(t, err)
-		d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: version}}, 0, version, time.Now())
+		d.ApplyChanges([]table.Row{{Key: "e", Value: value, Version: version}}, 0, version, time.Now())
 	}
 	row(serving.Membership{}, "")
 	return d, row, func() serving.Membership { return d.View().Endpoints["e"].Membership }
@@ -76,7 +76,7 @@
 	now := time.Now()
 	d.Refresh(now.Add(10 * observationFor))
 	require.Equal(t, open, membership(), "no rows have come since")
-	d.TakeChanges(nil, 1, 100, now.Add(20*observationFor))
+	d.ApplyChanges(nil, 1, 100, now.Add(20*observationFor))
 	d.Refresh(now.Add(20 * observationFor))
 	require.Empty(t, membership().Group, "rows of a later time say otherwise")
 }
@@ -91,7 +91,7 @@
 	listed := func() bool { return d.View().Endpoints["e"] != nil }
 	removed := []table.Row{{Key: "e", Version: 100, Removed: true}}
 	back := start.Add(time.Minute)
-	d.TakeChanges(removed, 1, 100, back)
+	d.ApplyChanges(removed, 1, 100, back)
 	require.True(t, listed())
 	d.Refresh(back.Add(DefaultReturnGrace - time.Millisecond))
 	require.True(t, listed())
@@ -104,8 +104,8 @@
 	d, _, _ := known(t)
 	d.SetReturnGrace(DefaultReturnGrace)
 	now := time.Now()
-	d.TakeChanges(nil, 1, 99, now.Add(time.Second))
-	d.TakeChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 99, 100, now.Add(2*time.Second))
+	d.ApplyChanges(nil, 1, 99, now.Add(time.Second))
+	d.ApplyChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 99, 100, now.Add(2*time.Second))
 	require.Empty(t, d.View().Endpoints)
 }
 
@@ -117,11 +117,11 @@
 	start := time.Now()
 	value, err := json.Marshal(serving.Endpoint{ID: "e", Draining: true})
 	require.NoError(t, err)
-	d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: 50}}, 1, 50, start)
+	d.ApplyChanges([]table.Row{{Key: "e", Value: value, Version: 50}}, 1, 50, start)
 	require.True(t, d.View().Endpoints["e"].Draining)
 	d.Refresh(start.Add(time.Minute))
 	require.True(t, d.View().Endpoints["e"].Draining, "no row says otherwise")
-	d.TakeChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 50, 100, start.Add(time.Minute))
+	d.ApplyChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 50, 100, start.Add(time.Minute))
 	require.Empty(t, d.View().Endpoints)
 	require.Empty(t, d.View().Lapsed)
 }
@@ -141,7 +141,7 @@
 		{"the reader's hundredth", true, 100, 500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := &follower{Watcher: &Watcher{Options: DefaultWatchOptions(), Duty: func() Duty { return Duty{Endpoints: test.reads} }}}
+			f := &follower{Watcher: &Watcher{Options: DefaultWatchOptions(), Role: func() WatchRole { return WatchRole{Endpoints: test.reads} }}}
 			f.failures = test.failures
 			for range 100 {
 				pause := f.pauseAfter(table.ErrUnavailable)
@@ -160,7 +160,7 @@
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, nil)))
 	defer slog.SetDefault(before)
-	d.SetReports(func(dc serving.DataCentre) bool { return dc == "own" })
+	d.SetLogsEachChange(func(dc serving.DataCentre) bool { return dc == "own" })
 	now := time.Now()
 	for i := range 200 {
 		dc := serving.DataCentre("other")
@@ -169,7 +169,7 @@
 		}
 		value, err := json.Marshal(serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Draining: i == 33})
 		require.NoError(t, err)
-		d.TakeChanges([]table.Row{{Key: fmt.Sprint(i), Value: value, Version: uint64(i + 2)}}, 0, uint64(i+2), now)
+		d.ApplyChanges([]table.Row{{Key: fmt.Sprint(i), Value: value, Version: uint64(i + 2)}}, 0, uint64(i+2), now)
 	}
 	d.Refresh(now.Add(2 * sumPause))
 	d.Refresh(now.Add(2*sumPause + time.Millisecond))
@@ -190,21 +190,21 @@
 // again soon.
 func TestWhatPeersBringIsNotRead(t *testing.T) {
 	d, _, _ := known(t)
-	d.TakeChanges(nil, 1, 99, time.Now())
+	d.ApplyChanges(nil, 1, 99, time.Now())
 	d.configuration = &serving.Configuration{Version: 1}
-	duty := Duty{}
-	w := &Watcher{Directory: d, Options: DefaultWatchOptions(), Duty: func() Duty { return duty }}
+	duty := WatchRole{}
+	w := &Watcher{Directory: d, Options: DefaultWatchOptions(), Role: func() WatchRole { return duty }}
 	for _, f := range []*follower{w.endpoints(), w.configuration()} {
 		require.NoError(t, f.step(t.Context()), "no call is made: there is no store")
 		require.True(t, f.skipped, f.name)
 		require.Equal(t, 100*time.Millisecond, f.pauseAfter(nil))
 	}
-	duty = Duty{Patience: time.Second}
+	duty = WatchRole{ExtraDelay: time.Second}
 	d.coveredAt = time.Now().Add(-w.Options.RelyOnPeers - time.Second/2)
 	require.True(t, w.endpoints().skip(), "those before it in rank go first")
-	duty = Duty{}
+	duty = WatchRole{}
 	require.False(t, w.endpoints().skip())
-	duty = Duty{Endpoints: true, Configuration: true, Wait: true}
+	duty = WatchRole{Endpoints: true, Configuration: true, Wait: true}
 	require.True(t, w.endpoints().skip(), "peers will bring it")
 	require.True(t, w.configuration().skip(), "peers will bring it")
 }
@@ -222,14 +222,14 @@
 	d, _, _ := known(t)
 	d.SetReturnGrace(DefaultReturnGrace)
 	back := time.Now().Add(time.Minute)
-	d.TakeChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 1, 100, back)
+	d.ApplyChanges([]table.Row{{Key: "e", Version: 100, Removed: true}}, 1, 100, back)
 	require.Contains(t, d.View().Endpoints, serving.EndpointID("e"))
 	value, err := json.Marshal(serving.Endpoint{ID: "e"})
 	require.NoError(t, err)
-	d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: 101}}, 100, 101, back.Add(time.Second))
+	d.ApplyChanges([]table.Row{{Key: "e", Value: value, Version: 101}}, 100, 101, back.Add(time.Second))
 	for i := range 10 {
-		d.TakeChanges(nil, 1, uint64(102+i), back.Add(time.Duration(2+i)*time.Second))
+		d.ApplyChanges(nil, 1, uint64(102+i), back.Add(time.Duration(2+i)*time.Second))
 	}
-	d.TakeChanges([]table.Row{{Key: "e", Version: 120, Removed: true}}, 111, 120, back.Add(12*time.Second))
+	d.ApplyChanges([]table.Row{{Key: "e", Version: 120, Removed: true}}, 111, 120, back.Add(12*time.Second))
 	require.Empty(t, d.View().Endpoints)
 }
--- a/internal/directory/draining_test.go
+++ b/internal/directory/draining_test.go
@@ -25,7 +25,7 @@
 		value, err := json.Marshal(e)
 		require.NoError(t, err)
 		version++
-		d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: version, Removed: removed}}, version-1, version, time.Now())
+		d.ApplyChanges([]table.Row{{Key: "e", Value: value, Version: version, Removed: removed}}, version-1, version, time.Now())
 		return d.View()
 	}
 	plain := serving.Endpoint{ID: "e", StartedAt: 5, Service: "shop", Address: "a:1"}
--- a/internal/directory/era_test.go
+++ b/internal/directory/era_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	value, err := json.Marshal(e)
 	require.NoError(t, err)
-	return table.Row{Key: string(e.ID), Value: value, Version: table.VersionIn(era, number)}
+	return table.Row{Key: string(e.ID), Value: value, Version: table.VersionInEra(era, number)}
 }
 
 // plainCodec reads rows that are plain JSON.
@@ -39,7 +39,7 @@
 // writes after it counts.
 func TestRowsOfAnOlderCopyBringNothingBack(t *testing.T) {
 	now := time.Now()
-	gone := table.Row{Key: "e", Version: table.VersionIn(1, 20), Removed: true}
+	gone := table.Row{Key: "e", Version: table.VersionInEra(1, 20), Removed: true}
 	tests := map[string]struct {
 		known []table.Row
 		copy  serving.Endpoint
@@ -61,20 +61,20 @@
 		t.Run(name, func(t *testing.T) {
 			d := New(plainCodec())
 			for _, row := range test.known {
-				d.TakeTable([]table.Row{row}, row.Version, now)
+				d.ApplySnapshot([]table.Row{row}, row.Version, now)
 				if row.Removed {
-					d.TakeTable(nil, row.Version, now)
+					d.ApplySnapshot(nil, row.Version, now)
 				}
 			}
 			restored := now.Add(time.Second)
-			d.TakeTable([]table.Row{rowIn(t, 2, 7, test.copy)}, table.VersionIn(2, 7), restored)
+			d.ApplySnapshot([]table.Row{rowIn(t, 2, 7, test.copy)}, table.VersionInEra(2, 7), restored)
 			e := d.View().Endpoints["e"]
 			require.Equal(t, test.listed, e != nil)
 			if e != nil {
 				require.Equal(t, test.leaving, e.Draining)
 				require.Equal(t, test.epoch, e.Membership.Epoch)
 			}
-			d.TakeChanges([]table.Row{rowIn(t, 2, 9, test.after)}, table.VersionIn(2, 7), table.VersionIn(2, 9), restored)
+			d.ApplyChanges([]table.Row{rowIn(t, 2, 9, test.after)}, table.VersionInEra(2, 7), table.VersionInEra(2, 9), restored)
 			e = d.View().Endpoints["e"]
 			require.NotNil(t, e)
 			require.Equal(t, test.afterLeaves, e.Draining)
@@ -88,9 +88,9 @@
 	d := New(plainCodec())
 	d.SetReturnGrace(DefaultReturnGrace)
 	now := time.Now()
-	d.TakeTable([]table.Row{rowIn(t, 1, 10, member(1, 3, false))}, table.VersionIn(1, 10), now)
+	d.ApplySnapshot([]table.Row{rowIn(t, 1, 10, member(1, 3, false))}, table.VersionInEra(1, 10), now)
 	restored := now.Add(100 * time.Millisecond)
-	d.TakeTable(nil, table.VersionIn(2, 4), restored)
+	d.ApplySnapshot(nil, table.VersionInEra(2, 4), restored)
 	require.NotNil(t, d.View().Endpoints["e"])
 	d.Refresh(restored.Add(DefaultReturnGrace + time.Millisecond))
 	require.Nil(t, d.View().Endpoints["e"])
@@ -101,11 +101,11 @@
 func TestPeersOfAnEarlierEraTellNothingOfRows(t *testing.T) {
 	d := New(plainCodec())
 	now := time.Now()
-	d.TakeTable(nil, table.VersionIn(2, 4), now)
-	d.TakeChanges([]table.Row{rowIn(t, 1, 900, member(8, 3, false))}, table.VersionIn(1, 899), table.VersionIn(1, 900), now)
+	d.ApplySnapshot(nil, table.VersionInEra(2, 4), now)
+	d.ApplyChanges([]table.Row{rowIn(t, 1, 900, member(8, 3, false))}, table.VersionInEra(1, 899), table.VersionInEra(1, 900), now)
 	require.Nil(t, d.View().Endpoints["e"])
-	version, _ := d.Covered()
-	require.Equal(t, table.VersionIn(2, 4), version)
+	version, _ := d.TableVersion()
+	require.Equal(t, table.VersionInEra(2, 4), version)
 }
 
 // A node that has just started is told all rows by one that lived through the change of era and
@@ -115,12 +115,12 @@
 func TestAFreshNodeIsToldRowsOfTheEraBefore(t *testing.T) {
 	now := time.Now()
 	lived := New(plainCodec())
-	lived.TakeTable([]table.Row{rowIn(t, 1, 10, member(8, 3, false))}, table.VersionIn(1, 10), now)
-	lived.TakeChanges(nil, table.VersionIn(1, 10), table.VersionIn(2, 7), now)
+	lived.ApplySnapshot([]table.Row{rowIn(t, 1, 10, member(8, 3, false))}, table.VersionInEra(1, 10), now)
+	lived.ApplyChanges(nil, table.VersionInEra(1, 10), table.VersionInEra(2, 7), now)
 
 	fresh := New(plainCodec())
 	rows, version := lived.Changes(0)
-	require.Equal(t, table.VersionIn(2, 7), version)
-	fresh.TakeChanges(rows, 0, version, now)
+	require.Equal(t, table.VersionInEra(2, 7), version)
+	fresh.ApplyChanges(rows, 0, version, now)
 	require.NotNil(t, fresh.View().Endpoints["e"])
 }
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -68,7 +68,7 @@
 		return f.backoff()
 	case f.skipped:
 		return f.Options.SkipPause
-	case table.Number(f.version) == 0:
+	case table.VersionNumber(f.version) == 0:
 		// Nothing was ever written to the store, so there is nothing to watch from.
 		return f.Options.EmptyPause
 	case f.rows >= fullPage:
@@ -88,9 +88,9 @@
 // so that nodes that failed together do not come back together.
 func (f *follower) backoff() time.Duration {
 	duty := f.duty()
-	most := f.Options.RetryMost + duty.Patience
+	most := f.Options.MaxRetryPause + duty.ExtraDelay
 	if duty.Endpoints {
-		most = f.Options.RetryReader
+		most = f.Options.MaxReaderRetryPause
 	}
 	pause := f.Options.RetryPause << min(f.failures-1, maxDoublings)
 	pause = min(pause, max(most, f.Options.RetryPause))
@@ -153,7 +153,7 @@
 		// Peers that bring all rows spare a read of the whole table.
 		f.version = max(f.version, f.known())
 	}
-	if table.Number(f.version) == 0 {
+	if table.VersionNumber(f.version) == 0 {
 		return f.readWhole(ctx)
 	}
 	return f.readChanges(ctx)
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -30,7 +30,7 @@
 	e.ID = "e"
 	value, err := json.Marshal(e)
 	require.NoError(l, err)
-	l.d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: l.version}}, 0, l.version, time.Now())
+	l.d.ApplyChanges([]table.Row{{Key: "e", Value: value, Version: l.version}}, 0, l.version, time.Now())
 }
 
 func (l *incarnations) observed(startedAt int64, here bool, m serving.Membership, model string, orders uint64) {
@@ -94,7 +94,7 @@
 	l := newIncarnations(t)
 	l.row(serving.Endpoint{StartedAt: 100, Model: "m", Membership: openGroup})
 	l.version++
-	l.d.TakeChanges([]table.Row{{Key: "e", Value: []byte{0xff}, Version: l.version}}, 0, l.version, time.Now())
+	l.d.ApplyChanges([]table.Row{{Key: "e", Value: []byte{0xff}, Version: l.version}}, 0, l.version, time.Now())
 	require.Nil(t, l.d.View().Endpoints["e"])
 	require.Nil(t, l.d.View().Lapsed["e"], "nor a member that may serve on")
 	rows, _ := l.d.Changes(l.version - 1)
--- a/internal/directory/logs.go
+++ b/internal/directory/logs.go
@@ -7,10 +7,9 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// SetReports sets of which data centres' endpoints each change is logged. Who decides
-// on an endpoint logs it, and others a sum a second: twenty nodes that each logged every
-// change of seventy endpoints wrote 60,000 lines in nineteen seconds.
-func (d *Directory) SetReports(reports func(serving.DataCentre) bool) {
+// SetLogsEachChange sets for which data centres each change of an endpoint is logged. Other
+// nodes than the one that manages the endpoints log a sum each second, to bound the volume.
+func (d *Directory) SetLogsEachChange(reports func(serving.DataCentre) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reports = reports
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -35,7 +35,7 @@
 
 // follow runs a watcher of the configuration in a bubble with a clock of its own, and
 // then the test; the directory has the first configuration.
-func follow(t *testing.T, store table.Store, tables *memtable.Table, duty Duty, test func(t *testing.T, d *Directory)) {
+func follow(t *testing.T, store table.Store, tables *memtable.Table, duty WatchRole, test func(t *testing.T, d *Directory)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(Codec{
 			Configuration: func(value []byte) (*serving.Configuration, error) {
@@ -47,7 +47,7 @@
 		})
 		write(t, tables, 1)
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &Watcher{Store: store, Directory: d, Options: DefaultWatchOptions(), Duty: func() Duty { return duty }}
+		w := &Watcher{Store: store, Directory: d, Options: DefaultWatchOptions(), Role: func() WatchRole { return duty }}
 		go w.configuration().run(ctx)
 		synctest.Wait()
 		require.EqualValues(t, 1, versionOf(d))
@@ -71,7 +71,7 @@
 // a watch begins must not matter.
 func TestConfigurationsAreInForceSoonAfterAnOutage(t *testing.T) {
 	const phases, step = 36, 200 * time.Millisecond
-	for _, duty := range []Duty{{Configuration: true}, {Configuration: true, Endpoints: true}} {
+	for _, duty := range []WatchRole{{Configuration: true}, {Configuration: true, Endpoints: true}} {
 		for _, outage := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second, 9 * time.Second} {
 			t.Run(fmt.Sprintf("%s, reads endpoints %v", outage, duty.Endpoints), func(t *testing.T) {
 				for phase := range phases {
@@ -111,7 +111,7 @@
 func TestAConfigurationIsInForceThoughAWatchIsNeverAnswered(t *testing.T) {
 	for lost := 1; lost <= 3; lost++ {
 		store := &deafOnce{Table: memtable.New(), left: lost}
-		follow(t, store, store.Table, Duty{Configuration: true}, func(t *testing.T, d *Directory) {
+		follow(t, store, store.Table, WatchRole{Configuration: true}, func(t *testing.T, d *Directory) {
 			for version := uint64(2); version < 12; version++ {
 				write(t, store.Table, version)
 				time.Sleep(inForceBound)
--- a/internal/directory/suspension_test.go
+++ b/internal/directory/suspension_test.go
@@ -18,7 +18,7 @@
 	l.observed(100, true, openGroup, "m", 7)
 	told, _ := l.d.Observations(0, time.Now())
 	require.Len(t, told, 1)
-	l.d.Suspended(observationFor)
+	l.d.HandleSuspension(observationFor)
 	told, _ = l.d.Observations(0, time.Now())
 	require.Empty(t, told)
 	require.Equal(t, openGroup, l.view().Membership, "nothing newer is known")
@@ -29,8 +29,8 @@
 	l := newIncarnations(t)
 	l.d.SetReturnGrace(DefaultReturnGrace)
 	l.row(serving.Endpoint{StartedAt: 100, Membership: openGroup})
-	l.d.Suspended(2 * gapLeast)
+	l.d.HandleSuspension(2 * gapLeast)
 	l.version++
-	l.d.TakeChanges([]table.Row{{Key: "e", Version: l.version, Removed: true}}, l.version-1, l.version, time.Now())
+	l.d.ApplyChanges([]table.Row{{Key: "e", Version: l.version, Removed: true}}, l.version-1, l.version, time.Now())
 	require.NotNil(t, l.d.View().Endpoints["e"], "it is waited for")
 }
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -18,7 +18,7 @@
 	d := New(Codec{Endpoint: func(_ string, value []byte) (e serving.Endpoint, err error) {
 		return e, json.Unmarshal(value, &e)
 	}})
-	d.SetReports(func(serving.DataCentre) bool { return false })
+	d.SetLogsEachChange(func(serving.DataCentre) bool { return false })
 	var rows []table.Row
 	for i := range 1107 {
 		id := fmt.Sprintf("e%04d", i)
@@ -26,7 +26,7 @@
 		require.NoError(tb, err)
 		rows = append(rows, table.Row{Key: id, Value: value, Version: uint64(i + 1)})
 	}
-	d.TakeTable(rows, 1107, time.Now())
+	d.ApplySnapshot(rows, 1107, time.Now())
 	d.configuration = &serving.Configuration{Version: 1, Services: map[string]serving.Service{"llm": {Name: "llm", Engine: &serving.Engine{}}}}
 	return d
 }
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -21,13 +21,12 @@
 	// RelyOnPeers is how long after the last news of the endpoint table from
 	// peers a node does not read it.
 	RelyOnPeers time.Duration
-	// RetryPause is the time before a failed call is made again, doubled with each
-	// failure in a row up to RetryMost, or RetryReader for the node that reads for
-	// its data centre. Calls are priced also when they fail: in an outage of eight
-	// seconds sixty nodes made five thousand.
-	RetryPause  time.Duration
-	RetryMost   time.Duration
-	RetryReader time.Duration
+	// RetryPause is the time before a failed call is retried. It doubles with each failure
+	// in a row, up to MaxRetryPause, or MaxReaderRetryPause for the node that reads for its
+	// data centre. Failed calls cost as much as others.
+	RetryPause          time.Duration
+	MaxRetryPause       time.Duration
+	MaxReaderRetryPause time.Duration
 	// EmptyPause is the time between two reads of a store that nothing was written to
 	// yet: the first configuration comes seconds later.
 	EmptyPause time.Duration
@@ -51,17 +50,17 @@
 		// With CallTimeout half a second less than the three seconds after which users count
 		// on a node whose store is back. Eight nodes made 724 calls on a calm day of 46 s,
 		// and 682 with 6 s (one play each).
-		LongPoll:      1500 * time.Millisecond,
-		EndpointPause: 300 * time.Millisecond,
-		RelyOnPeers:   1200 * time.Millisecond,
-		RetryPause:    250 * time.Millisecond,
-		RetryMost:     2 * time.Second,
-		RetryReader:   500 * time.Millisecond,
-		EmptyPause:    time.Second,
-		SkipPause:     100 * time.Millisecond,
-		ChangePause:   300 * time.Millisecond,
-		CallTimeout:   time.Second,
-		ReadTimeout:   8 * time.Second,
+		LongPoll:            1500 * time.Millisecond,
+		EndpointPause:       300 * time.Millisecond,
+		RelyOnPeers:         1200 * time.Millisecond,
+		RetryPause:          250 * time.Millisecond,
+		MaxRetryPause:       2 * time.Second,
+		MaxReaderRetryPause: 500 * time.Millisecond,
+		EmptyPause:          time.Second,
+		SkipPause:           100 * time.Millisecond,
+		ChangePause:         300 * time.Millisecond,
+		CallTimeout:         time.Second,
+		ReadTimeout:         8 * time.Second,
 	}
 }
 
@@ -70,31 +69,31 @@
 	Store     table.Store
 	Directory *Directory
 	Options   WatchOptions
-	// Duty tells what this node follows for others; nil means everything.
-	Duty func() Duty
+	// Role returns what this node reads on behalf of others; nil means everything.
+	Role func() WatchRole
 }
 
-// Duty is what a node follows for others. What it does not follow it learns from peers,
-// and reads itself only when they have brought nothing for a time.
-type Duty struct {
+// WatchRole is what a node reads from the store on behalf of others. The rest it learns from
+// peers, and reads itself only if they have sent nothing for a time.
+type WatchRole struct {
 	// Endpoints is set for a node that reads the endpoint table at the pace.
 	Endpoints bool
 	// Configuration is set for a node that watches the configuration.
 	Configuration bool
 	// Wait is set for a node that reads nothing yet: peers will bring it.
 	Wait bool
-	// Patience is how much longer than the first of its data centre this node waits
-	// before it reads what peers have not brought, and between failed calls: of sixty
-	// nodes of which each called in an outage of eight seconds one or two would do.
-	Patience time.Duration
+	// ExtraDelay is how much longer than the first node of its data centre this node waits
+	// before it reads what peers have not sent, and between failed calls, so that few nodes
+	// call the store in an outage.
+	ExtraDelay time.Duration
 }
 
 // duty is what this node follows now.
-func (w *Watcher) duty() Duty {
-	if w.Duty == nil {
-		return Duty{Endpoints: true, Configuration: true}
+func (w *Watcher) duty() WatchRole {
+	if w.Role == nil {
+		return WatchRole{Endpoints: true, Configuration: true}
 	}
-	return w.Duty()
+	return w.Role()
 }
 
 // Run follows both tables until the context ends.
@@ -123,7 +122,7 @@
 			w.Directory.noteConfigurationAnswer(time.Now())
 			for _, row := range rows {
 				if row.Key == codec.ConfigurationKey && !row.Removed {
-					w.Directory.TakeConfiguration(row.Value, "store")
+					w.Directory.ApplyConfiguration(row.Value, "store")
 				}
 			}
 		},
@@ -136,20 +135,20 @@
 		name:    w.Directory.codec.EndpointTable,
 		pause:   w.Options.EndpointPause,
 		known: func() uint64 {
-			version, _ := w.Directory.Covered()
+			version, _ := w.Directory.TableVersion()
 			return version
 		},
 		skip: func() bool {
-			_, at := w.Directory.Covered()
+			_, at := w.Directory.TableVersion()
 			duty := w.duty()
-			return duty.Wait || !duty.Endpoints && time.Since(at) < w.Options.RelyOnPeers+duty.Patience
+			return duty.Wait || !duty.Endpoints && time.Since(at) < w.Options.RelyOnPeers+duty.ExtraDelay
 		},
 		take: func(rows []table.Row, since, version uint64) {
 			if since == 0 {
-				w.Directory.TakeTable(rows, version, time.Now())
+				w.Directory.ApplySnapshot(rows, version, time.Now())
 				return
 			}
-			w.Directory.TakeChanges(rows, since, version, time.Now())
+			w.Directory.ApplyChanges(rows, since, version, time.Now())
 		},
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -161,7 +161,7 @@
 		DrainWait:            2500 * time.Millisecond,
 	}, e.store, countedEndpoints{a.Endpoints(httpClient(links), e.observe), e.metrics}, e.directory, e.gossip.Suspects)
 	e.gossip.SetController(e.controller)
-	e.directory.SetReports(e.gossip.LogsEachChange)
+	e.directory.SetLogsEachChange(e.gossip.LogsEachChange)
 	if err := e.listen(a, links); err != nil {
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 	e.cancel = cancel
 	control, cancelControl := context.WithCancel(ctx)
 	e.cancelControl = cancelControl
-	watcher := &directory.Watcher{Store: e.store, Directory: e.directory, Options: e.settings.Policy.watchOptions(), Duty: e.gossip.Duty}
+	watcher := &directory.Watcher{Store: e.store, Directory: e.directory, Options: e.settings.Policy.watchOptions(), Role: e.gossip.WatchRole}
 	e.running.Go(func() { watcher.Run(ctx) })
 	e.running.Go(func() { e.gossip.Run(ctx) })
 	e.running.Go(func() {
@@ -274,7 +274,7 @@
 	e.metrics.Set("endpoints_listed", float64(len(view.Endpoints)))
 	e.metrics.Set("endpoints_suspected", float64(len(e.gossip.Suspects())))
 	e.metrics.Set("configuration_version", float64(e.ConfigurationVersion()))
-	e.metrics.Set("configuration_answer_age_seconds", time.Since(e.directory.ConfigurationAnswered()).Seconds())
+	e.metrics.Set("configuration_answer_age_seconds", time.Since(e.directory.LastConfigurationAnswer()).Seconds())
 	budget := e.budget.Tightest(time.Now())
 	e.metrics.Set("retry_budget_repeats", float64(budget.Retries))
 	e.metrics.Set("retry_budget_allowed", budget.Allowed())
--- a/internal/entry/suspension.go
+++ b/internal/entry/suspension.go
@@ -21,7 +21,7 @@
 		return
 	}
 	e.suspended = suspended
-	e.directory.Suspended(since)
+	e.directory.HandleSuspension(since)
 	e.gossip.HandleSuspension(since)
 	e.metrics.Set("suspended_seconds", suspended.Seconds())
 }
--- a/internal/gossip/configuration.go
+++ b/internal/gossip/configuration.go
@@ -58,5 +58,5 @@
 		g.log.Error("a peer's configuration cannot be read; the last one stays in force", "peer", from, "error", err)
 		return
 	}
-	g.directory.TakeConfiguration(value, "peer "+from)
+	g.directory.ApplyConfiguration(value, "peer "+from)
 }
--- a/internal/gossip/duty.go
+++ b/internal/gossip/duty.go
@@ -43,15 +43,15 @@
 	return g.rank
 }
 
-// Duty is what this node follows in the store for others.
-func (g *Gossiper) Duty() directory.Duty {
+// WatchRole returns what this node reads from the store on behalf of others.
+func (g *Gossiper) WatchRole() directory.WatchRole {
 	now := time.Now()
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	relays := g.relaysHere(controls, now)
 	word := g.wordOf(g.config.DataCentre, now)
-	d := directory.Duty{
+	d := directory.WatchRole{
 		Endpoints:     controls && g.readsEndpoints(now),
 		Configuration: g.watchesConfiguration(relays, now),
 		Wait:          g.config.FirstStart && !controls && now.Sub(g.began) < firstWait,
@@ -60,9 +60,9 @@
 	if word != nil {
 		each = placePatience
 	}
-	d.Patience = min(maxPatience, time.Duration(max(0, g.rank-firstPlaces))*each)
+	d.ExtraDelay = min(maxPatience, time.Duration(max(0, g.rank-firstPlaces))*each)
 	if g.ranked && !d.Configuration {
-		d.Configuration = word == nil || now.Sub(word.storeSeen) > 2*g.pace(relays)+storeCalls+relaySlack+d.Patience
+		d.Configuration = word == nil || now.Sub(word.storeSeen) > 2*g.pace(relays)+storeCalls+relaySlack+d.ExtraDelay
 	}
 	return d
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -22,11 +22,11 @@
 	if packed := m.GetConfiguration(); len(packed) > 0 {
 		g.takeConfiguration(packed, m.GetFrom().GetId())
 	}
-	before, _ := g.directory.Covered()
+	before, _ := g.directory.TableVersion()
 	if m.GetEndpointsVersion() > 0 {
-		g.directory.TakeChanges(fromRows(m.GetRows()), m.GetRowsSince(), m.GetEndpointsVersion(), now)
+		g.directory.ApplyChanges(fromRows(m.GetRows()), m.GetRowsSince(), m.GetEndpointsVersion(), now)
 	}
-	after, _ := g.directory.Covered()
+	after, _ := g.directory.TableVersion()
 	for _, o := range m.GetObservations() {
 		g.directory.Observe(fromObservation(o), false, now)
 	}
@@ -99,7 +99,7 @@
 	}
 	p.epoch = m.GetEpoch()
 	p.homeNodes = int(m.GetHomeNodes())
-	p.storeSeen = clock.AtMillisAgo(m.GetStoreAgeMs(), now)
+	p.storeSeen = clock.FromAgeMillis(m.GetStoreAgeMs(), now)
 	g.nodes = max(g.nodes, int(m.GetNodes()))
 	if p.dataCentre == g.config.DataCentre && m.GetRank() > 0 {
 		g.rank, g.ranked = int(m.GetRank()), true
@@ -229,7 +229,7 @@
 	m.Relays = true
 	m.HomeNodes = uint32(g.homeNodes())
 	m.Nodes = uint32(g.nodes)
-	m.StoreAgeMs = clock.MillisAgo(g.storeSeen, now)
+	m.StoreAgeMs = clock.AgeMillis(g.storeSeen, now)
 	relayed := g.homeWork(now)
 	if p.dataCentre == g.config.DataCentre {
 		m.Rank = uint32(g.ranks[p.address])
@@ -258,7 +258,7 @@
 			Reckoned: float32(l.Pace.Expected),
 		}
 		if now.Sub(l.LastEvent) < eventTold {
-			ms := clock.MillisAgo(l.LastEvent, now)
+			ms := clock.AgeMillis(l.LastEvent, now)
 			told.EventAgeMs = &ms
 		}
 		out = append(out, told)
@@ -278,7 +278,7 @@
 			Pace:    health.Pace{Took: float64(l.GetTook()), Expected: float64(l.GetReckoned())},
 		}
 		if l.EventAgeMs != nil {
-			load.LastEvent = clock.AtMillisAgo(l.GetEventAgeMs(), now)
+			load.LastEvent = clock.FromAgeMillis(l.GetEventAgeMs(), now)
 		}
 		out[serving.EndpointID(l.GetEndpoint())] = load
 	}
--- a/internal/gossip/suspension.go
+++ b/internal/gossip/suspension.go
@@ -14,11 +14,11 @@
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
 		for _, at := range []*time.Time{&p.heard, &p.called, &p.failed, &p.toldRelay, &p.storeSeen, &p.behindSince} {
-			clock.Age(at, duration)
+			clock.Backdate(at, duration)
 		}
 	}
 	for _, at := range []*time.Time{&g.heardController, &g.storeSeen, &g.rowsHeard} {
-		clock.Age(at, duration)
+		clock.Backdate(at, duration)
 	}
 	g.dirty = true
 }
--- a/internal/groupcontrol/controller.go
+++ b/internal/groupcontrol/controller.go
@@ -191,7 +191,7 @@
 		c.reset(epoch)
 	}
 	view := c.directory.View()
-	if version, _ := c.directory.Covered(); version == 0 || view.Configuration == nil {
+	if version, _ := c.directory.TableVersion(); version == 0 || view.Configuration == nil {
 		// What a peer brought of the table is a part of it: groups of which this node
 		// knows some members alone would look as if they had lost the others. Its grace
 		// for rows that lag begins with the whole.
--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -538,7 +538,7 @@
 		}
 	}
 	require.NotEmpty(t, part)
-	h.known.TakeChanges(part, page.Version-1, page.Version, time.Now())
+	h.known.ApplyChanges(part, page.Version-1, page.Version, time.Now())
 	time.Sleep(3 * time.Second)
 	require.Equal(t, orders, h.fleet.Orders(), "longer than the grace for rows that lag")
 	hidden.whole.Store(true)
--- a/internal/groupcontrol/have_test.go
+++ b/internal/groupcontrol/have_test.go
@@ -23,7 +23,7 @@
 	e := &serving.Endpoint{ID: "e", Model: "m"}
 	value, err := json.Marshal(e)
 	require.NoError(t, err)
-	d.TakeChanges([]table.Row{{Key: "e", Value: value, Version: 1}}, 0, 1, time.Now())
+	d.ApplyChanges([]table.Row{{Key: "e", Value: value, Version: 1}}, 0, 1, time.Now())
 	c := New(Options{LeaseTTL: time.Second}, memtable.New(), nil, d, nil)
 	return c.begin([]*serving.Endpoint{e}, "m"), e
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -33,10 +33,10 @@
 	for _, r := range records {
 		told := &quarantinepb.Record{Fingerprint: r.Fingerprint[:], Tried: r.TrialUsed}
 		for _, end := range r.Crashes {
-			told.Ends = append(told.Ends, &quarantinepb.IncarnationEnd{Incarnation: uint64(end.Incarnation), AgeMs: clock.MillisAgo(end.At, now)})
+			told.Ends = append(told.Ends, &quarantinepb.IncarnationEnd{Incarnation: uint64(end.Incarnation), AgeMs: clock.AgeMillis(end.At, now)})
 		}
 		if !r.Served.IsZero() {
-			age := clock.MillisAgo(r.Served, now)
+			age := clock.AgeMillis(r.Served, now)
 			told.ServedAgeMs = &age
 		}
 		out = append(out, told)
@@ -53,10 +53,10 @@
 			continue
 		}
 		for _, end := range t.GetEnds() {
-			r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: qlist.Incarnation(end.GetIncarnation()), At: clock.AtMillisAgo(end.GetAgeMs(), now)})
+			r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: qlist.Incarnation(end.GetIncarnation()), At: clock.FromAgeMillis(end.GetAgeMs(), now)})
 		}
 		if t.ServedAgeMs != nil {
-			r.Served = clock.AtMillisAgo(t.GetServedAgeMs(), now)
+			r.Served = clock.FromAgeMillis(t.GetServedAgeMs(), now)
 		}
 		out = append(out, r)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -686,7 +686,7 @@
 	began := time.Now()
 	running := func() time.Duration { return time.Since(began) }
 	boot := func() (time.Duration, error) { return running() + time.Duration(suspended.Load()), nil }
-	w.relay.options.Clock = clock.NewOf(boot, running)
+	w.relay.options.Clock = clock.NewFromSources(boot, running)
 	in := request(hostStream)
 	in.Header.Set("Left", "12000")
 	out := w.serve(in)
@@ -694,7 +694,7 @@
 	require.Empty(t, second.arrivals())
 
 	suspended.Store(0)
-	w.relay.options.Clock = clock.NewOf(boot, running)
+	w.relay.options.Clock = clock.NewFromSources(boot, running)
 	in.Header.Set("Left", "20000")
 	out = w.serve(in)
 	require.True(t, out.ended, "five seconds are left")
--- a/internal/table/version.go
+++ b/internal/table/version.go
@@ -9,14 +9,14 @@
 // they last for thirty years.
 const eraShift = 40
 
-// MostEra is the highest era that a version can have.
-const MostEra = 1<<(64-eraShift) - 1
+// MaxEra is the highest era that a version can have.
+const MaxEra = 1<<(64-eraShift) - 1
 
-// VersionIn returns the version of a number in an era.
-func VersionIn(era, number uint64) uint64 { return era<<eraShift | number }
+// VersionInEra returns the version with a number in an era.
+func VersionInEra(era, number uint64) uint64 { return era<<eraShift | number }
 
 // Era returns the era of a version.
 func Era(version uint64) uint64 { return version >> eraShift }
 
-// Number returns the number that a version has in its era; zero is before all writes.
-func Number(version uint64) uint64 { return version & (1<<eraShift - 1) }
+// VersionNumber returns the number of a version within its era; zero is before all writes.
+func VersionNumber(version uint64) uint64 { return version & (1<<eraShift - 1) }
--- a/internal/throttle/gossip.go
+++ b/internal/throttle/gossip.go
@@ -51,7 +51,7 @@
 
 // ToWire encodes a limit for another node, its time as an age.
 func ToWire(inc serving.Incarnation, l advisory.RateLimit, now time.Time) *sharepb.EndpointAdvisory {
-	return &sharepb.EndpointAdvisory{Endpoint: string(inc.ID), StartedAt: inc.StartedAt, PerSecond: l.PerSecond, AgeMs: clock.MillisAgo(l.At, now)}
+	return &sharepb.EndpointAdvisory{Endpoint: string(inc.ID), StartedAt: inc.StartedAt, PerSecond: l.PerSecond, AgeMs: clock.AgeMillis(l.At, now)}
 }
 
 // FromWire is the reverse of ToWire. What is no number of requests is dated before all else,
@@ -61,5 +61,5 @@
 	if perSecond := m.GetPerSecond(); !(perSecond >= 0) || math.IsInf(perSecond, 0) {
 		return inc, advisory.RateLimit{}
 	}
-	return inc, advisory.RateLimit{PerSecond: m.GetPerSecond(), At: clock.AtMillisAgo(m.GetAgeMs(), now)}
+	return inc, advisory.RateLimit{PerSecond: m.GetPerSecond(), At: clock.FromAgeMillis(m.GetAgeMs(), now)}
 }
