--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -23,8 +23,8 @@
 	// Window is how long a claim may wait for others to share its
 	// transaction.
 	Window time.Duration
-	// Most is how many claims one transaction carries.
-	Most int
+	// MaxBatch is the maximum number of claims in one transaction.
+	MaxBatch int
 	// Timeout bounds one claim.
 	Timeout time.Duration
 }
@@ -54,8 +54,8 @@
 	version uint64
 }
 
-// Held is a claim that was granted.
-type Held struct {
+// Grant is a claim that was granted.
+type Grant struct {
 	Key     string
 	row     claim.Row
 	version uint64
@@ -69,7 +69,7 @@
 		log:     logging.For("claims").With("node", options.Node),
 		ctx:     ctx,
 		cancel:  cancel,
-		batcher: claim.NewBatcher(options.Window, options.Most),
+		batcher: claim.NewBatcher(options.Window, options.MaxBatch),
 		waiting: map[string]chan answer{},
 		wake:    make(chan struct{}, 1),
 	}
@@ -86,7 +86,7 @@
 
 // Claim tries to claim a key. When the result is not ResultGranted the
 // request must not run; ResultTaken comes with the earlier claim's row.
-func (s *Store) Claim(ctx context.Context, workspace, key string) (Held, claim.Row, claim.Result) {
+func (s *Store) Claim(ctx context.Context, workspace, key string) (Grant, claim.Row, claim.Result) {
 	now := time.Now()
 	row := claim.Row{State: claim.StateClaimed, Node: s.options.Node, Attempt: xid.New().String(), Made: now.Unix()}
 	c := claim.Claim{Key: claim.Key(workspace, key), Row: row}
@@ -100,13 +100,13 @@
 	defer timer.Stop()
 	select {
 	case a := <-reply:
-		return Held{c.Key, row, a.version}, a.row, a.result
+		return Grant{c.Key, row, a.version}, a.row, a.result
 	case <-timer.C:
 	case <-ctx.Done():
 	case <-s.ctx.Done():
 	}
 	s.giveUp(c)
-	return Held{}, claim.Row{}, claim.ResultUnavailable
+	return Grant{}, claim.Row{}, claim.ResultUnavailable
 }
 
 // giveUp withdraws a claim whose answer nobody waits for any more.
@@ -243,7 +243,7 @@
 		return
 	}
 	if a.result == claim.ResultGranted {
-		s.Release(Held{c.Key, c.Row, a.version})
+		s.Release(Grant{c.Key, c.Row, a.version})
 	}
 }
 
@@ -258,7 +258,7 @@
 			if rows[0].Version == 0 || json.Unmarshal(rows[0].Value, &row) != nil || row.Attempt != c.Row.Attempt {
 				return
 			}
-			s.deleteRow(Held{c.Key, c.Row, rows[0].Version})
+			s.deleteRow(Grant{c.Key, c.Row, rows[0].Version})
 			return
 		}
 		if !s.pause() {
@@ -279,11 +279,11 @@
 }
 
 // Release withdraws a claim whose request certainly did not run.
-func (s *Store) Release(h Held) {
+func (s *Store) Release(h Grant) {
 	s.background(func() { s.deleteRow(h) })
 }
 
-func (s *Store) deleteRow(h Held) {
+func (s *Store) deleteRow(h Grant) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.Timeout)
 	defer cancel()
 	_, err := s.options.Table.Commit(ctx, platform.Txn{
@@ -295,8 +295,8 @@
 	}
 }
 
-// Ran notes that the request ran, so that a repeat is told so.
-func (s *Store) Ran(h Held) {
+// MarkRan records that the request ran, so that a retry is told so.
+func (s *Store) MarkRan(h Grant) {
 	row := h.row
 	row.State = claim.StateRan
 	s.background(func() {
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -33,7 +33,7 @@
 	for i := range nodes {
 		client := platform.New(platform.Options{Address: strings.TrimPrefix(server.URL, "http://"), Timeout: time.Second})
 		t.Cleanup(client.Close)
-		s := New(Options{Node: fmt.Sprint(i), Table: client, Window: time.Millisecond, Most: 16, Timeout: 5 * time.Second})
+		s := New(Options{Node: fmt.Sprint(i), Table: client, Window: time.Millisecond, MaxBatch: 16, Timeout: 5 * time.Second})
 		t.Cleanup(s.Close)
 		b.stores = append(b.stores, s)
 	}
@@ -125,7 +125,7 @@
 	require.Eventually(t, func() bool { return len(b.table.Rows("claim/")) == 0 }, 10*time.Second, time.Millisecond)
 	held, _, result = b.stores[1].Claim(context.Background(), "w", "k")
 	require.Equal(t, claim.ResultGranted, result)
-	b.stores[1].Ran(held)
+	b.stores[1].MarkRan(held)
 	require.Eventually(t, func() bool {
 		_, earlier, result = b.stores[0].Claim(context.Background(), "w", "k")
 		return result == claim.ResultTaken && earlier.State == claim.StateRan
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -285,7 +285,7 @@
 // TestBudgetAtSize holds the scaled intervals against what a node may send,
 // with the sizes that the benchmarks above measure.
 func TestBudgetAtSize(t *testing.T) {
-	ttl := membership.Times{Own: 1200 * time.Millisecond, Vouch: 3 * time.Second, Peer: 1500 * time.Millisecond}
+	ttl := membership.TTLs{Own: 1200 * time.Millisecond, Vouch: 3 * time.Second, Peer: 1500 * time.Millisecond}
 	for _, c := range []struct {
 		nodes, watched int
 		exchange, poll time.Duration
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -191,7 +191,7 @@
 		Guard:         options.LeaseTTL / 4,
 	})
 	l.setKnown(start, nil)
-	l.snapshot.Store(&Snapshot{Made: start})
+	l.snapshot.Store(&Snapshot{CreatedAt: start})
 	return l
 }
 
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -89,13 +89,13 @@
 // given.
 func (l *Loop) message(now time.Time, to membership.NodeID, configurationRevision, groupsRevision uint64) *peers.Message {
 	l.tracker.Expire(now)
-	beat := l.tracker.Compose(now, to, membership.Own{
+	beat := l.tracker.NextHeartbeat(now, to, membership.LocalState{
 		Leaving:               l.leaving,
 		ConfigurationRevision: uint64(l.store.Revision()),
 		GroupsRevision:        l.groups.Revision(),
 		Demand:                l.ownDemand(),
 	})
-	message := &peers.Message{Beat: peers.BeatToWire(beat)}
+	message := &peers.Message{Beat: peers.HeartbeatToWire(beat)}
 	if configurationRevision < uint64(l.store.Revision()) {
 		message.Configuration = encodeDelta(l.store.DeltaSince(configuration.Revision(configurationRevision)))
 	}
@@ -142,7 +142,7 @@
 
 // take applies what a peer of the same data centre sent.
 func (l *Loop) take(now time.Time, m *peers.Message) {
-	l.tracker.Receive(now, peers.BeatFromWire(m.GetBeat()))
+	l.tracker.Receive(now, peers.HeartbeatFromWire(m.GetBeat()))
 	l.takeConfiguration(m.GetConfiguration())
 	l.takeGroups(m.GetGroups())
 	l.takeInstances(now, m.GetInstances())
--- a/internal/control/scale.go
+++ b/internal/control/scale.go
@@ -33,7 +33,7 @@
 // many nodes, of which this one watches so many endpoints. Small data centres
 // keep the settings; in large ones the intervals grow until the traffic fits
 // the budgets, and the evidence lives for two of them and a little more.
-func scaled(base Intervals, ttl membership.Times, nodes, watched int) (Intervals, membership.Times) {
+func scaled(base Intervals, ttl membership.TTLs, nodes, watched int) (Intervals, membership.TTLs) {
 	out := base
 	out.Exchange = max(base.Exchange, perSecond(nodes-1, exchangeBytes, exchangeBudget))
 	out.Poll = max(base.Poll, perSecond(watched, pollBytes, pollBudget))
@@ -57,13 +57,13 @@
 
 // rescale adapts the intervals to the nodes and endpoints as they are now.
 func (l *Loop) rescale(nodes int) {
-	times := membership.Times{
+	times := membership.TTLs{
 		Own:   l.options.Membership.OwnTTL,
 		Vouch: l.options.Membership.VouchTTL,
 		Peer:  l.options.Membership.PeerTTL,
 		Load:  l.options.Membership.LoadEvery,
 	}
 	l.intervals, times = scaled(l.options.Intervals, times, nodes, len(l.watches))
-	l.tracker.SetTimes(times)
+	l.tracker.SetTTLs(times)
 	l.lease.SetReadInterval(l.intervals.Head)
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -13,7 +13,7 @@
 
 // Snapshot is what traffic needs of the control state. It is immutable.
 type Snapshot struct {
-	Made time.Time
+	CreatedAt time.Time
 	// Ready is set once configuration is in force here.
 	Ready         bool
 	Configuration configuration.Revision
@@ -22,19 +22,19 @@
 	Workspaces map[string]Workspace
 	// Targets may be sent new requests.
 	Targets []routing.Target
-	// Whole has every group and service endpoint that is all there, those
-	// that drain or have a leaving member included: what runs there goes on.
-	Whole map[fleet.GroupID]Whole
+	// Complete has every group and service endpoint whose members are all present, including
+	// those that drain, because their requests continue.
+	Complete map[fleet.GroupID]CompleteGroup
 	// Slots is how many requests of each pool this node may run at once.
 	Slots map[string]int
 	// Remotes are entry instances of other data centres that answered lately.
 	Remotes []Remote
-	// Controls is set while this node holds the lease of its data centre.
-	Controls bool
+	// IsController is set while this node holds the lease of its data centre.
+	IsController bool
 }
 
-// Whole is the evidence that a group is all there.
-type Whole struct {
+// CompleteGroup is the evidence that all members of a group are present.
+type CompleteGroup struct {
 	Generation uint64
 	Until      time.Time
 }
@@ -101,16 +101,16 @@
 func (l *Loop) publishNow(now time.Time) {
 	_, controls := l.lease.Held(now)
 	s := &Snapshot{
-		Controls:      controls,
-		Made:          now,
+		IsController:  controls,
+		CreatedAt:     now,
 		Configuration: l.store.Revision(),
 		Groups:        l.groups.Revision(),
 		Ready:         l.store.Revision() > 0 && !l.leaving,
 		Workspaces:    l.workspaces(),
-		Whole:         map[fleet.GroupID]Whole{},
+		Complete:      map[fleet.GroupID]CompleteGroup{},
 		Remotes:       l.remoteList(now),
 	}
-	s.Targets = l.targets(now, s.Whole)
+	s.Targets = l.targets(now, s.Complete)
 	s.Slots = l.slots(now, s.Targets)
 	l.snapshot.Store(s)
 	if l.options.Publish != nil {
@@ -138,12 +138,12 @@
 
 // targets lists the groups all of whose members are there, by evidence, and
 // the plain service endpoints, and notes all that are whole.
-func (l *Loop) targets(now time.Time, whole map[fleet.GroupID]Whole) []routing.Target {
+func (l *Loop) targets(now time.Time, whole map[fleet.GroupID]CompleteGroup) []routing.Target {
 	var out []routing.Target
 	for _, g := range l.groups.All() {
 		t, state := l.groupTarget(now, g)
 		if state != groupDown {
-			whole[g.ID] = Whole{t.Generation, t.Until}
+			whole[g.ID] = CompleteGroup{t.Generation, t.Until}
 		}
 		if state == groupOpen {
 			out = append(out, t)
@@ -158,7 +158,7 @@
 			continue
 		}
 		t := serviceTarget(in, status)
-		whole[t.Group] = Whole{t.Generation, t.Until}
+		whole[t.Group] = CompleteGroup{t.Generation, t.Until}
 		if !t.Draining {
 			out = append(out, t)
 		}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -45,7 +45,7 @@
 // shareWatches works out anew which endpoints are this node's to watch, if
 // the nodes or the endpoints have changed.
 func (l *Loop) shareWatches(now time.Time) {
-	live := l.tracker.Sharing(now)
+	live := l.tracker.WatchCandidates(now)
 	key := watchKey(live, l.listed)
 	if key == l.watchKey {
 		return
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -41,8 +41,8 @@
 	readyPoll        = 50 * time.Millisecond
 )
 
-// Whole is the running whole.
-type Whole struct {
+// Cluster is a running development cluster with a stand-in of the platform.
+type Cluster struct {
 	Nodes    []*node.Node
 	Settings []*settings.Settings
 	servers  []*http.Server
@@ -55,8 +55,8 @@
 var places = []place{{"entry-1", "north"}, {"entry-2", "north"}, {"entry-3", "south"}}
 
 // Start starts the whole and submits the sample templates.
-func Start() (*Whole, error) {
-	w := &Whole{platform: platformstandin.New()}
+func Start() (*Cluster, error) {
+	w := &Cluster{platform: platformstandin.New()}
 	platformAddress, err := w.serve(w.platform.Handler())
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	return w, nil
 }
 
-func (w *Whole) serve(h http.Handler) (string, error) {
+func (w *Cluster) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", oops.In("dev").Wrap(err)
@@ -87,7 +87,7 @@
 	return listener.Addr().String(), nil
 }
 
-func (w *Whole) startEndpoints() error {
+func (w *Cluster) startEndpoints() error {
 	for _, centre := range []string{"north", "south"} {
 		for i := range enginesPerCentre {
 			id := fleet.InstanceID(fmt.Sprintf("%s-%s-%d", enginePrefix, centre, i+1))
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func (w *Whole) startEndpoint(in fleet.Instance, centre string) error {
+func (w *Cluster) startEndpoint(in fleet.Instance, centre string) error {
 	server := enginestandin.New(enginestandin.DefaultOptions(in.ID, uint64(time.Now().UnixNano())))
 	address, err := w.serve(server.Handler())
 	if err != nil {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (w *Whole) startNodes(platformAddress string) error {
+func (w *Cluster) startNodes(platformAddress string) error {
 	for _, p := range places {
 		s := settings.Defaults()
 		s.Node = p.name
@@ -229,7 +229,7 @@
 	return nil, oops.In("dev").Errorf("no free port on %s from %d to %d", ip, firstPort, lastPort)
 }
 
-func (w *Whole) submitSamples() error {
+func (w *Cluster) submitSamples() error {
 	client := operatorapi.NewClient(w.Settings[0].Operator, OperatorKey)
 	entries, err := samples.ReadDir("samples")
 	if err != nil {
@@ -248,7 +248,7 @@
 }
 
 // WaitReady waits until every entry instance serves every sample.
-func (w *Whole) WaitReady() error {
+func (w *Cluster) WaitReady() error {
 	end := time.Now().Add(readyTimeout)
 	for time.Now().Before(end) {
 		if w.ready() {
@@ -259,7 +259,7 @@
 	return oops.In("dev").Errorf("the sample templates are not served after %s", readyTimeout)
 }
 
-func (w *Whole) ready() bool {
+func (w *Cluster) ready() bool {
 	for _, n := range w.Nodes {
 		s := n.Loop().Snapshot()
 		pools := map[string]bool{}
@@ -274,7 +274,7 @@
 }
 
 // Describe prints the addresses and a request to paste.
-func (w *Whole) Describe(out io.Writer) {
+func (w *Cluster) Describe(out io.Writer) {
 	for _, s := range w.Settings {
 		fmt.Fprintf(out, "%s in %s: callers http://%s, operators http://%s\n", s.Node, s.DataCentre, s.Callers, s.Operator)
 	}
@@ -285,7 +285,7 @@
 }
 
 // Stop stops the whole.
-func (w *Whole) Stop() {
+func (w *Cluster) Stop() {
 	for _, n := range w.Nodes {
 		n.Stop()
 	}
@@ -295,7 +295,7 @@
 }
 
 // Smoke sends one request for each sample workspace and prints the answers.
-func (w *Whole) Smoke(out io.Writer) error {
+func (w *Cluster) Smoke(out io.Writer) error {
 	steps := []struct {
 		name, path, key, body string
 		header                map[string]string
@@ -331,7 +331,7 @@
 	return nil
 }
 
-func (w *Whole) post(path, key, body string, header map[string]string) (string, error) {
+func (w *Cluster) post(path, key, body string, header map[string]string) (string, error) {
 	target := url.URL{Scheme: "http", Host: w.Settings[0].Callers, Path: path}
 	request, err := http.NewRequest(http.MethodPost, target.String(), strings.NewReader(body))
 	if err != nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -383,6 +383,6 @@
 // serves reports whether the target is still all there, by evidence. A group
 // that drains is no target any more, but goes on with what it has.
 func serves(s *control.Snapshot, target routing.Target) bool {
-	whole, ok := s.Whole[target.Group]
+	whole, ok := s.Complete[target.Group]
 	return ok && whole.Generation == target.Generation && time.Now().Before(whole.Until)
 }
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -48,7 +48,7 @@
 	tableServer := httptest.NewServer(table.Handler())
 	t.Cleanup(tableServer.Close)
 	store := claims.New(claims.Options{
-		Node: "test", Most: 8, Timeout: 5 * time.Second,
+		Node: "test", MaxBatch: 8, Timeout: 5 * time.Second,
 		Table: platform.New(platform.Options{Address: strings.TrimPrefix(tableServer.URL, "http://"), Timeout: 5 * time.Second}),
 	})
 	t.Cleanup(store.Close)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -196,7 +196,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiting, q.ID)
-	g.deliver(g.admission.Abandon(time.Now(), q.Pool, q.ID))
+	g.deliver(g.admission.Cancel(time.Now(), q.Pool, q.ID))
 	return admission.Decision{ID: q.ID}, false
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -52,15 +52,15 @@
 	address := strings.TrimPrefix(upstream.URL, "http://")
 	until := time.Now().Add(time.Hour)
 	g.Publish(&control.Snapshot{
-		Made:       time.Now(),
+		CreatedAt:  time.Now(),
 		Ready:      true,
 		Workspaces: map[string]control.Workspace{workspace.KeyHash: {Workspace: workspace, Template: template}},
 		Targets: []routing.Target{
 			{Group: "g", Generation: 1, Address: address, Pool: control.ModelPool("t"), Slots: 8, Until: until},
 			{Group: "service/s1", Address: address, Pool: control.ServicePool("s"), Slots: 8, Until: until},
 		},
-		Whole: map[fleet.GroupID]control.Whole{"g": {Generation: 1, Until: until}},
-		Slots: map[string]int{control.ModelPool("t"): 8, control.ServicePool("s"): 8},
+		Complete: map[fleet.GroupID]control.CompleteGroup{"g": {Generation: 1, Until: until}},
+		Slots:    map[string]int{control.ModelPool("t"): 8, control.ServicePool("s"): 8},
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -55,13 +55,13 @@
 // serveBy has the gateway know just some endpoints, as groups of one life each.
 func (b *bench) serveBy(endpoints ...*mortal) {
 	s := *b.gateway.snapshot.Load()
-	s.Targets, s.Whole = nil, map[fleet.GroupID]control.Whole{}
+	s.Targets, s.Complete = nil, map[fleet.GroupID]control.CompleteGroup{}
 	until := time.Now().Add(time.Hour)
 	for _, e := range endpoints {
 		address := e.server.Listener.Addr().String()
 		id := fleet.GroupID(address)
 		s.Targets = append(s.Targets, routing.Target{Group: id, Generation: 1, Address: address, Pool: control.ModelPool("t"), Slots: 8, Until: until})
-		s.Whole[id] = control.Whole{Generation: 1, Until: until}
+		s.Complete[id] = control.CompleteGroup{Generation: 1, Until: until}
 	}
 	b.gateway.Publish(&s)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -49,7 +49,7 @@
 	mayHaveRun   bool
 	// looked is closed when it is known why the last attempt broke off.
 	looked <-chan struct{}
-	held   *claims.Held
+	held   *claims.Grant
 	failed []routing.Failure
 	// contents are the tokens that the answer has so far, still encoded.
 	contents []json.RawMessage
@@ -109,7 +109,7 @@
 		MaxInFlight: c.p.workspace.MaxInFlight,
 		Priority:    c.p.priority,
 		Deadline:    c.p.deadline,
-		Returning:   c.p.returning,
+		IsRetry:     c.p.returning,
 	})
 	c.class.Wait.RecordDuration(time.Since(c.start))
 	if !answered {
@@ -191,7 +191,7 @@
 	case c.outcome == OutcomeNotRun || c.outcome == OutcomeClientGone && !c.mayHaveRun:
 		c.g.options.Claims.Release(*c.held)
 	case c.outcome == OutcomeServed || c.outcome == OutcomeRan:
-		c.g.options.Claims.Ran(*c.held)
+		c.g.options.Claims.MarkRan(*c.held)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -85,14 +85,14 @@
 		metrics:  metrics.New(s.Node, string(s.DataCentre)),
 	}
 	n.claims = claims.New(claims.Options{
-		Node:    s.Node,
-		Table:   n.platform,
-		Window:  s.ClaimWindow,
-		Most:    claimBatch,
-		Timeout: s.CallTimeout,
+		Node:     s.Node,
+		Table:    n.platform,
+		Window:   s.ClaimWindow,
+		MaxBatch: claimBatch,
+		Timeout:  s.CallTimeout,
 	})
 	// One node of each data centre sends a request from quarantine, once.
-	quarantine := quarantine.NewQuarantine(func() bool { return n.loop.Snapshot().Controls })
+	quarantine := quarantine.NewQuarantine(func() bool { return n.loop.Snapshot().IsController })
 	n.gateway = gateway.New(gateway.Options{
 		Node:        s.Node,
 		Engine:      n.engine,
@@ -178,7 +178,7 @@
 }
 
 func (n *Node) healthz(w http.ResponseWriter, _ *http.Request) {
-	age := time.Since(n.loop.Snapshot().Made)
+	age := time.Since(n.loop.Snapshot().CreatedAt)
 	if age > aliveLimit {
 		http.Error(w, fmt.Sprintf("the control state is %s old", age), http.StatusServiceUnavailable)
 		return
--- a/internal/peers/convert.go
+++ b/internal/peers/convert.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// BeatToWire turns a beat into its message.
-func BeatToWire(b membership.Beat) *peerpb.Beat {
+// HeartbeatToWire converts a heartbeat to its message.
+func HeartbeatToWire(b membership.Heartbeat) *peerpb.Beat {
 	out := &peerpb.Beat{
 		From:                  nodeToWire(b.From),
 		Incarnation:           b.Incarnation,
@@ -81,9 +81,9 @@
 	return out
 }
 
-// BeatFromWire turns a message into its beat.
-func BeatFromWire(m *peerpb.Beat) membership.Beat {
-	out := membership.Beat{
+// HeartbeatFromWire converts a message to a heartbeat.
+func HeartbeatFromWire(m *peerpb.Beat) membership.Heartbeat {
+	out := membership.Heartbeat{
 		From:                  nodeFromWire(m.GetFrom()),
 		Incarnation:           m.GetIncarnation(),
 		Stamp:                 time.Duration(m.GetStamp()),
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -45,7 +45,7 @@
 	s := listen(t)
 	c := NewClient(key, link.New(nil))
 	defer c.Close()
-	beat := membership.Beat{
+	beat := membership.Heartbeat{
 		From:        membership.Node{ID: "n", DataCentre: "dc", Address: "a"},
 		Incarnation: 7, Stamp: time.Second, Echo: 2, EchoFor: 3, OldestAge: 4, Since: 5, Seq: 6, Ack: 8,
 		Leaving: true, ConfigurationRevision: 10, GroupsRevision: 11,
@@ -54,9 +54,9 @@
 		Known:   []membership.Node{{ID: "m"}},
 	}
 	for range 3 {
-		answer, err := c.Exchange(context.Background(), s.Address(), &Message{Beat: BeatToWire(beat)})
+		answer, err := c.Exchange(context.Background(), s.Address(), &Message{Beat: HeartbeatToWire(beat)})
 		require.NoError(t, err)
-		assert.Equal(t, beat, BeatFromWire(answer.GetBeat()))
+		assert.Equal(t, beat, HeartbeatFromWire(answer.GetBeat()))
 	}
 }
 
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -318,7 +318,7 @@
 func (n *node) tick() {
 	w := n.w
 	n.tracker.Expire(w.now)
-	live := n.tracker.Sharing(w.now)
+	live := n.tracker.WatchCandidates(w.now)
 	for _, e := range w.endpoints {
 		if n.tracker.Watches(live, e.in.ID) && w.now.Sub(n.polled[e.in.ID]) >= 400*time.Millisecond {
 			n.poll(e)
@@ -361,12 +361,12 @@
 	}
 }
 
-func (n *node) beat(to *node) membership.Beat {
+func (n *node) beat(to *node) membership.Heartbeat {
 	n.tracker.Expire(n.w.now)
-	return n.tracker.Compose(n.w.now, to.id, membership.Own{GroupsRevision: n.groups.Revision()})
+	return n.tracker.NextHeartbeat(n.w.now, to.id, membership.LocalState{GroupsRevision: n.groups.Revision()})
 }
 
-func (n *node) receive(b membership.Beat) {
+func (n *node) receive(b membership.Heartbeat) {
 	if n.w.mutate == mutateNoEcho {
 		b.Echo, b.EchoFor = n.w.now.Sub(n.options.Start), n.options.Incarnation
 	}
--- a/lab/experiments/admission.go
+++ b/lab/experiments/admission.go
@@ -164,7 +164,7 @@
 	case policyMachine:
 		r.take(now, r.machine.Arrive(now, admission.Request{
 			ID: q.id, Pool: "p", Workspace: q.workspace, Share: 1, MaxInFlight: 1 << 20,
-			Priority: admission.PriorityNormal, Deadline: q.deadline, Returning: q.second,
+			Priority: admission.PriorityNormal, Deadline: q.deadline, IsRetry: q.second,
 		}))
 	case policyQueueAll:
 		r.fifo = append(r.fifo, q)
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -81,15 +81,14 @@
 	MaxInFlight int
 	Priority    Priority
 	Deadline    time.Time
-	// Returning marks a request that was refused before and comes back at the
-	// time it was told. It goes before new ones of its workspace, which have
-	// their own times to come.
-	Returning bool
+	// IsRetry marks a request that was rejected before and returns at the time it was told.
+	// It precedes new requests of its workspace.
+	IsRetry bool
 }
 
 // line is the queue of its workspace that the request waits in.
 func (q Request) line() int {
-	if q.Returning {
+	if q.IsRetry {
 		return lineReturning
 	}
 	return 1 + int(q.Priority)
@@ -288,7 +287,7 @@
 	w := p.workspaces[q.Workspace]
 	w.inFlight++
 	w.returns *= 1 - returnsWeight
-	if q.Returning {
+	if q.IsRetry {
 		w.returns += returnsWeight
 	}
 	m.running[q.ID] = running{q.Pool, q.Workspace, now}
@@ -312,8 +311,8 @@
 	return m.fill(now, r.pool, p)
 }
 
-// Abandon removes a request wherever it is: its caller has gone.
-func (m *Machine) Abandon(now time.Time, name string, id ID) []Decision {
+// Cancel removes a request in any state after its caller has disconnected.
+func (m *Machine) Cancel(now time.Time, name string, id ID) []Decision {
 	if _, ok := m.running[id]; ok {
 		return m.Finish(now, id, false)
 	}
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -95,7 +95,7 @@
 	q := request(100, "a")
 	q.Deadline = start.Add(3 * time.Second)
 	require.Equal(t, OutcomeRefused, m.Arrive(start, q).Outcome)
-	q.Returning = true
+	q.IsRetry = true
 	require.Equal(t, OutcomeQueued, m.Arrive(start, q).Outcome)
 	assert.Equal(t, ID(100), m.Finish(start.Add(time.Second), 0, true)[0].ID)
 }
@@ -182,7 +182,7 @@
 				next++
 				q := request(next, fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "workspace")))
 				q.Priority = Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
-				q.Returning = rapid.Bool().Draw(t, "returning")
+				q.IsRetry = rapid.Bool().Draw(t, "returning")
 				q.Share = rapid.Float64Range(0, 5).Draw(t, "share")
 				q.Deadline = now.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "deadline")) * time.Millisecond)
 				d := m.Arrive(now, q)
@@ -206,7 +206,7 @@
 			"abandon": func(t *rapid.T) {
 				if id, ok := anyOf(queued); ok {
 					delete(queued, id)
-					take(m.Abandon(now, "p", id))
+					take(m.Cancel(now, "p", id))
 				}
 			},
 			"pass": func(t *rapid.T) {
--- a/pkg/membership/beat.go
+++ b/pkg/membership/beat.go
@@ -18,10 +18,10 @@
 	Address string `json:"address"`
 }
 
-// Beat is one message between two entry instances of a data centre. It is
-// heartbeat, vouch and delta in one, so that a quiet pair costs one small
-// message each way an interval.
-type Beat struct {
+// Heartbeat is a message between two entry instances of a data centre. It combines the
+// liveness signal, vouches and a delta, so that an idle pair exchanges one small message
+// per interval and direction.
+type Heartbeat struct {
 	From Node
 	// Incarnation changes whenever the sender's process starts.
 	Incarnation uint64
@@ -55,17 +55,17 @@
 	Known []Node
 }
 
-// Own is what the caller adds of its own state to an outgoing beat.
-type Own struct {
+// LocalState is the caller's own state that goes into an outgoing heartbeat.
+type LocalState struct {
 	Leaving               bool
 	ConfigurationRevision uint64
 	GroupsRevision        uint64
 	Demand                map[string]float64
 }
 
-// Compose makes the next beat for a peer.
-func (t *Tracker) Compose(now time.Time, to NodeID, own Own) Beat {
-	b := Beat{
+// NextHeartbeat returns the next heartbeat for a peer.
+func (t *Tracker) NextHeartbeat(now time.Time, to NodeID, own LocalState) Heartbeat {
+	b := Heartbeat{
 		From:                  t.options.Self,
 		Incarnation:           t.options.Incarnation,
 		Stamp:                 now.Sub(t.options.Start),
@@ -117,7 +117,7 @@
 
 // Receive takes a peer's beat. It returns false for a beat of an older
 // incarnation of the peer, or one overtaken by a later beat.
-func (t *Tracker) Receive(now time.Time, b Beat) bool {
+func (t *Tracker) Receive(now time.Time, b Heartbeat) bool {
 	if b.From.ID == t.options.Self.ID {
 		return false
 	}
@@ -162,7 +162,7 @@
 	return true
 }
 
-func (t *Tracker) takeAck(p *peer, b Beat) {
+func (t *Tracker) takeAck(p *peer, b Heartbeat) {
 	if b.EchoFor == t.options.Incarnation {
 		p.acked = max(p.acked, b.Ack)
 		return
@@ -174,7 +174,7 @@
 // takeReports applies the changes of a beat. A beat that starts behind a gap
 // is not applied: the peer's acknowledgement then makes the next beat start
 // where this node's knowledge ends.
-func (t *Tracker) takeReports(p *peer, b Beat) {
+func (t *Tracker) takeReports(p *peer, b Heartbeat) {
 	if b.Since > p.seq {
 		return
 	}
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -56,11 +56,11 @@
 	}
 }
 
-// Times are how long evidence lives.
-type Times struct{ Own, Vouch, Peer, Load time.Duration }
+// TTLs are how long each kind of evidence is valid.
+type TTLs struct{ Own, Vouch, Peer, Load time.Duration }
 
-// SetTimes changes how long evidence lives, as the data centre grows.
-func (t *Tracker) SetTimes(times Times) {
+// SetTTLs sets how long evidence is valid, which depends on the size of the data centre.
+func (t *Tracker) SetTTLs(times TTLs) {
 	t.options.OwnTTL = times.Own
 	t.options.VouchTTL = times.Vouch
 	t.options.PeerTTL = times.Peer
@@ -251,11 +251,10 @@
 	return out
 }
 
-// Sharing returns the nodes that the watching of endpoints is shared out to:
-// those that live, and those that are known and have had no time yet to be
-// heard. Without the latter, each of many nodes that start together would
-// first watch everything.
-func (t *Tracker) Sharing(now time.Time) []NodeID {
+// WatchCandidates returns the nodes among which the watching of endpoints is divided: those
+// alive, and those known that have had no time to be heard yet. Without the latter, each of
+// many nodes that start together would watch everything at first.
+func (t *Tracker) WatchCandidates(now time.Time) []NodeID {
 	out := t.Live(now)
 	for id, k := range t.known {
 		if _, heard := t.peers[id]; !heard && now.Sub(k.since) <= t.options.PeerTTL {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -27,8 +27,8 @@
 func pair(now time.Time, a, b *Tracker) {
 	a.Expire(now)
 	b.Expire(now)
-	b.Receive(now, a.Compose(now, b.options.Self.ID, Own{}))
-	a.Receive(now, b.Compose(now, a.options.Self.ID, Own{}))
+	b.Receive(now, a.NextHeartbeat(now, b.options.Self.ID, LocalState{}))
+	a.Receive(now, b.NextHeartbeat(now, a.options.Self.ID, LocalState{}))
 }
 
 func TestOwnEvidenceEnds(t *testing.T) {
@@ -60,7 +60,7 @@
 	a, b := tracker("a"), tracker("b")
 	b.Observe(at(0), ready(1))
 	pair(at(0), a, b)
-	late := b.Compose(at(100*time.Millisecond), "a", Own{})
+	late := b.NextHeartbeat(at(100*time.Millisecond), "a", LocalState{})
 	require.True(t, a.Receive(at(time.Minute), late))
 	_, fresh := a.Status(at(time.Minute), "e")
 	assert.False(t, fresh)
@@ -70,7 +70,7 @@
 func TestOvertakenBeatIsDropped(t *testing.T) {
 	a, b := tracker("a"), tracker("b")
 	pair(at(0), a, b)
-	old := b.Compose(at(time.Second), "a", Own{})
+	old := b.NextHeartbeat(at(time.Second), "a", LocalState{})
 	pair(at(2*time.Second), a, b)
 	assert.False(t, a.Receive(at(2*time.Second), old))
 }
@@ -96,7 +96,7 @@
 	r := ready(1)
 	r.Slots = 16
 	a.Observe(at(0), r)
-	told := func() uint64 { return a.Compose(at(0), "b", Own{}).Seq }
+	told := func() uint64 { return a.NextHeartbeat(at(0), "b", LocalState{}).Seq }
 	for i := range 50 {
 		r.Version++
 		r.Load = i % 16
@@ -116,7 +116,7 @@
 	a, b := tracker("a"), tracker("b")
 	pair(at(0), a, b)
 	b.Observe(at(0), ready(1))
-	b.Compose(at(0), "a", Own{})
+	b.NextHeartbeat(at(0), "a", LocalState{})
 	b.Observe(at(100*time.Millisecond), ready(2))
 	pair(at(200*time.Millisecond), a, b)
 	status, _ := a.Status(at(200*time.Millisecond), "e")
@@ -193,9 +193,9 @@
 		known = append(known, Node{ID: NodeID(fmt.Sprint(i)), DataCentre: "dc"})
 	}
 	a.SetKnown(start, known)
-	assert.Len(t, a.Sharing(start), 72)
+	assert.Len(t, a.WatchCandidates(start), 72)
 	assert.Len(t, a.Live(start), 1)
-	assert.Len(t, a.Sharing(at(2*time.Second)), 1, "those that were never heard count no longer")
+	assert.Len(t, a.WatchCandidates(at(2*time.Second)), 1, "those that were never heard count no longer")
 }
 
 func ExampleTracker() {
