--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -56,7 +56,7 @@
 	last     time.Time
 }
 
-// Serve runs one request and answers it. The context ends, with ErrGone as
+// Serve runs one request and answers it. The context ends, with ErrClientGone as
 // its cause, when nobody waits for the answer any more.
 func (g *Gateway) Serve(ctx context.Context, in *Request, out Responder) {
 	g.inProgress.Add(1)
--- a/internal/httpserver/responder.go
+++ b/internal/httpserver/responder.go
@@ -109,7 +109,7 @@
 	return t
 }
 
-// Begin begins to watch a request. The context ends, with ErrGone as its
+// Begin begins to watch a request. The context ends, with ErrClientGone as its
 // cause, when the caller has gone; done is called when the request is answered.
 func (t *Tracker) Begin(w http.ResponseWriter) (ctx context.Context, r *Responder, done func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -71,7 +71,7 @@
 }
 
 // Serve runs one request and answers it. The context ends, with
-// httpserver.ErrGone as its cause, when nobody waits any more.
+// httpserver.ErrClientGone as its cause, when nobody waits any more.
 func (r *Relay) Serve(ctx context.Context, in *Request, out Responder) {
 	r.seen.Store(true)
 	progress := r.inProgress.Add(1)
--- a/internal/throttle/tracker.go
+++ b/internal/throttle/tracker.go
@@ -7,7 +7,7 @@
 // none. Nodes gossip limits and their ends; whoever asks for a permit includes what it knows.
 //
 // A node that cannot reach the allocator takes a small share of the limit by itself: see
-// ratelimit.Share.
+// ratelimit.LocalShare.
 //
 // An endpoint that rejects a request may ask the node for a cooldown, and one that leaves says
 // so in all its answers. Each answer's advisory.Statement comes here through Observe, and each
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -50,12 +50,12 @@
 const (
 	// ActionNone asks for nothing.
 	ActionNone ActionKind = iota
-	// ActionRead asks for the row, then Machine.Read.
+	// ActionRead asks for the row, then Machine.ReadDone.
 	ActionRead
 	// ActionAcquire asks to write Row if the table's row has not changed
-	// since it was read, with a new epoch row, then Machine.Written.
+	// since it was read, with a new epoch row, then Machine.WriteDone.
 	ActionAcquire
-	// ActionRenew asks to write Row if it has not changed, then Machine.Written.
+	// ActionRenew asks to write Row if it has not changed, then Machine.WriteDone.
 	ActionRenew
 )
 
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -378,7 +378,7 @@
 }
 
 // Expire withdraws this node's own reports that have grown too old. It must
-// run before each Compose: a beat must not vouch for what has lapsed.
+// run before each NextHeartbeat: a heartbeat must not vouch for what has lapsed.
 func (t *Tracker) Expire(now time.Time) {
 	for id, o := range t.own {
 		if now.Sub(o.at) > t.options.OwnTTL {
--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -6,7 +6,7 @@
 // them. Each node has a List of its own and tells the others what changes in it; what two
 // nodes know is merged by union, so that order and repetition of the news do not matter.
 //
-// A request that has ended Limit endpoints without ever having been answered is not sent
+// A request that has ended MaxCrashes endpoints without ever having been answered is not sent
 // again. One that is answered elsewhere cannot be what ends endpoints: it is only there
 // often, as a popular one is at every endpoint that ends of other causes.
 //
--- a/pkg/ratelimit/pacer.go
+++ b/pkg/ratelimit/pacer.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// burst is the time for which a Pacer saves permits up beside one: requests come
+	// burst is the time for which a TokenBucket saves permits up beside one: requests come
 	// unevenly, and most of a high limit would be lost between them.
 	burst = 250 * time.Millisecond
 	// minPerSecond is the pace of an endpoint that takes less: one that gets nothing
