--- a/internal/clock/age.go
+++ b/internal/clock/age.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// AgeMillis returns the age of a time in milliseconds. Machines exchange ages because their
-// clocks differ.
+// AgeMillis returns the age of a time in milliseconds. Machines exchange ages because their clocks
+// differ.
 func AgeMillis(at, now time.Time) uint32 {
 	return uint32(min(max(0, now.Sub(at).Milliseconds()), math.MaxUint32))
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock tells how much time has passed, also while the machine was suspended.
+// Package clock provides a clock that also advances while the machine is suspended.
 //
-// Go's monotonic clock stands still then: a lease that ran out meanwhile looks valid to its
-// holder, and what was heard before looks as if it had just come. The kernel's CLOCK_BOOTTIME
-// counts that time, and unlike the time of day it never jumps.
+// Go's monotonic clock does not advance during a suspension: a lease that expired meanwhile looks
+// valid to its holder, and old messages look recent. The kernel's CLOCK_BOOTTIME counts the time,
+// and unlike the time of day it never jumps.
 package clock
 
 import (
@@ -14,19 +14,20 @@
 	"github.com/ridgehinge/ridgehinge/internal/logging"
 )
 
-// leastSuspension is the shortest that counts: the two clocks are read one after the other,
-// and the process may be held up between.
-const leastSuspension = 50 * time.Millisecond
+// minSuspension is the shortest suspension that is detected. The two clocks are read one after the
+// other, and the process may be preempted in between.
+const minSuspension = 50 * time.Millisecond
 
-// Clock counts from when it was made. It is safe for concurrent use.
+// Clock measures the time for which the machine was suspended since the clock was created. It is
+// safe for concurrent use.
 type Clock struct {
-	// boot is the time since the machine started, and running the part of the time since
-	// this clock was made in which it was not suspended.
-	boot      func() (time.Duration, error)
-	running   func() time.Duration
-	began     time.Duration
-	suspended atomic.Int64
-	failed    atomic.Bool
+	// boot returns the time since the machine booted, and running the time since this clock was
+	// created without suspensions.
+	boot        func() (time.Duration, error)
+	running     func() time.Duration
+	startOffset time.Duration
+	suspended   atomic.Int64
+	failed      atomic.Bool
 }
 
 // New returns a clock of this machine.
@@ -35,19 +36,18 @@
 	return NewFromSources(bootTime, func() time.Duration { return time.Since(start) })
 }
 
-// NewFromSources returns a clock that reads the time since the machine started, and the time
-// since the clock was made during which the machine ran, from the given sources.
+// NewFromSources returns a clock that reads the time since boot, and the time since the clock was
+// created without suspensions, from the given functions.
 func NewFromSources(boot func() (time.Duration, error), running func() time.Duration) *Clock {
 	c := &Clock{boot: boot, running: running}
-	began, err := boot()
+	startOffset, err := boot()
 	if err != nil {
 		c.fail(err)
 	}
-	c.began = began - running()
+	c.startOffset = startOffset - running()
 	return c
 }
 
-// bootTime reads CLOCK_BOOTTIME.
 func bootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -56,14 +56,14 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Now returns the present time. Times of one clock may be compared with each other, and
-// with no others once the machine was suspended: its seconds of the day are then off.
+// Now returns the current time including suspensions. Compare it only with times of the same
+// clock: after a suspension it differs from the time of day.
 func (c *Clock) Now() time.Time {
 	return time.Now().Add(c.Refresh())
 }
 
-// Refresh looks at the kernel's clocks and returns for how long the machine was suspended
-// since the clock was made. It costs one system call.
+// Refresh reads the kernel's clocks and returns for how long the machine was suspended since the
+// clock was created. It costs one system call.
 func (c *Clock) Refresh() time.Duration {
 	known := c.Suspended()
 	if c.failed.Load() {
@@ -74,9 +74,9 @@
 		c.fail(err)
 		return known
 	}
-	// Read after the other clock, so that a hold-up between is not taken for one.
-	suspended := boot - c.began - c.running()
-	if suspended < known+leastSuspension {
+	// Read after the boot clock, so that a preemption in between does not count as a suspension.
+	suspended := boot - c.startOffset - c.running()
+	if suspended < known+minSuspension {
 		return known
 	}
 	if c.suspended.CompareAndSwap(int64(known), int64(suspended)) {
@@ -85,17 +85,17 @@
 	return c.Suspended()
 }
 
-// Suspended returns what the last Refresh found, without a system call.
+// Suspended returns the result of the last Refresh without a system call.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
 func (c *Clock) fail(err error) {
 	if !c.failed.Swap(true) {
-		logging.For("clock").Error("the kernel does not tell the time since its start; suspensions are not noticed", "error", err)
+		logging.For("clock").Error("cannot read CLOCK_BOOTTIME; machine suspensions are not detected", "error", err)
 	}
 }
 
-// Backdate moves a time back unless it is zero. It corrects times taken by a clock that does
-// not count suspensions.
+// Backdate moves a time back unless it is zero. It corrects times read from a clock that does not
+// count suspensions.
 func Backdate(at *time.Time, by time.Duration) {
 	if !at.IsZero() {
 		*at = at.Add(-by)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine has the two clocks of a machine that may be suspended.
+// machine emulates the two clocks of a machine that can be suspended.
 type machine struct {
 	running   time.Duration
 	suspended time.Duration
@@ -24,16 +24,15 @@
 	)
 }
 
-// A controller is suspended for five seconds. The clock that its lease ran by would stand
-// still, so it would take the lease for valid while another node has it.
-func TestSuspendedTimeCounts(t *testing.T) {
+// Guards against a lease that stays valid while its holder's machine is suspended.
+func TestClock_CountsSuspensions(t *testing.T) {
 	m := &machine{}
 	c := m.clock()
 	before := c.Now()
 	m.running += time.Second
 	require.Zero(t, c.Refresh())
 	m.suspended += 5 * time.Second
-	require.Zero(t, c.Suspended(), "nobody has looked")
+	require.Zero(t, c.Suspended(), "not refreshed yet")
 	require.InDelta(t, 5*time.Second, c.Now().Sub(before), float64(time.Second))
 	require.Equal(t, 5*time.Second, c.Suspended())
 	m.suspended += 3 * time.Second
@@ -41,16 +40,16 @@
 	require.Equal(t, 8*time.Second, c.Refresh())
 }
 
-func TestHoldUpsOfTheProcessAreNoSuspensions(t *testing.T) {
+func TestClock_IgnoresPreemption(t *testing.T) {
 	m := &machine{}
 	c := m.clock()
-	m.suspended += leastSuspension / 2
+	m.suspended += minSuspension / 2
 	require.Zero(t, c.Refresh())
 	m.suspended -= time.Second
-	require.Zero(t, c.Refresh(), "the clock never goes back")
+	require.Zero(t, c.Refresh(), "the clock is monotonic")
 }
 
-func TestAKernelThatDoesNotTellLeavesTheMonotonicClock(t *testing.T) {
+func TestClock_WithoutBootTimeIsMonotonic(t *testing.T) {
 	m := &machine{err: errors.New("no such clock")}
 	c := m.clock()
 	m.suspended += time.Hour
@@ -58,7 +57,7 @@
 	require.WithinDuration(t, time.Now(), c.Now(), time.Minute)
 }
 
-func TestAnEmulatedMachineIsSuspendedByAFile(t *testing.T) {
+func TestEmulated_ReadsSuspensionFromFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "suspended")
 	c := Emulated(file)
 	require.Zero(t, c.Refresh())
@@ -68,7 +67,7 @@
 	require.InDelta(t, 3*time.Second, c.Refresh(), float64(time.Second))
 }
 
-func TestTheKernelTellsTheTimeSinceItsStart(t *testing.T) {
+func TestNew_ReadsBootTime(t *testing.T) {
 	c := New()
 	before := c.Now()
 	time.Sleep(time.Millisecond)
@@ -76,7 +75,6 @@
 	require.False(t, c.failed.Load())
 }
 
-// BenchmarkNow: 303 ns with the suspended time and 59 ns for time.Now, beside a busy machine.
 func BenchmarkNow(b *testing.B) {
 	c := New()
 	b.Run("suspensions counted", func(b *testing.B) {
--- a/internal/clock/emulated.go
+++ b/internal/clock/emulated.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Emulated returns a clock of a machine that counts as suspended, besides what the kernel
-// tells, for as many milliseconds as a file says: for tests, which can suspend no machine.
-// A file that is missing or holds no number says zero.
+// Emulated returns a clock that counts the milliseconds in a file as time for which the machine
+// was suspended, for tests, which cannot suspend a machine. A file that is missing or holds no
+// number counts as zero.
 func Emulated(file string) *Clock {
 	start := time.Now()
 	boot := func() (time.Duration, error) {
 		at, err := bootTime()
-		return at + suspendedBy(file), err
+		return at + readSuspension(file), err
 	}
 	return NewFromSources(boot, func() time.Duration { return time.Since(start) })
 }
 
-func suspendedBy(file string) time.Duration {
+func readSuspension(file string) time.Duration {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return 0
--- a/internal/clock/every.go
+++ b/internal/clock/every.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Every does something at a pace until the context ends.
-func Every(ctx context.Context, pause time.Duration, do func(now time.Time)) {
-	ticker := time.NewTicker(pause)
+// Every calls do at a fixed interval until the context is cancelled.
+func Every(ctx context.Context, interval time.Duration, do func(now time.Time)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,5 +1,5 @@
-// Package table is the interface to a transactional table service, which
-// holds all that must outlive the processes.
+// Package table is the interface to a transactional table service, which holds all state that must
+// survive restarts.
 package table
 
 import (
@@ -10,55 +10,54 @@
 
 // Errors of a Store.
 var (
-	// ErrUnavailable means that the store refused the call or cannot be
-	// reached; nothing was done.
-	ErrUnavailable = errors.New("the store is unavailable")
-	// ErrUnknown means that a call got no answer; a write may have been done,
-	// or may still be done if its condition holds then.
-	ErrUnknown = errors.New("the store did not answer")
+	// ErrUnavailable means that the store rejected the call or is unreachable, and that nothing
+	// was written.
+	ErrUnavailable = errors.New("store unavailable")
+	// ErrUnknown means that a call got no answer. A write may have been committed, or may still be
+	// if its condition holds then.
+	ErrUnknown = errors.New("no answer from the store")
 	// ErrConflict means that a condition of a change did not hold.
-	ErrConflict = errors.New("a row has changed meanwhile")
-	// ErrHistoryGone means that a watch must begin again with a read.
-	ErrHistoryGone = errors.New("the store no longer has this part of its history")
+	ErrConflict = errors.New("a condition of the change did not hold")
+	// ErrHistoryGone means that the watched table has to be read again.
+	ErrHistoryGone = errors.New("the store no longer has the history after this version")
 )
 
-// Row is one row. Its version is drawn from one counter of the whole store, and has its era.
+// Row is one row. Its version is drawn from one counter of the whole store and includes the era.
 type Row struct {
 	Table     string
 	Partition string
 	Key       string
 	Value     []byte
 	Version   uint64
-	// Removed rows occur in watches only.
+	// Removed rows occur only in the results of watches.
 	Removed bool
 }
 
-// Page is rows as of one version of the store.
+// Page is a set of rows as of one version of the store.
 type Page struct {
 	Rows    []Row
 	Version uint64
 }
 
-// Change is one transaction on one partition, all or nothing.
+// Change is one atomic transaction on one partition.
 type Change struct {
-	// Conditions name rows with the version that they must have; zero is
+	// Conditions are rows with the version that each must have; zero means that the row must be
 	// absent.
 	Conditions []Row
 	Writes     []Row
 	Removals   []Row
 }
 
-// Store is a transactional table service. Its methods are safe for
-// concurrent use.
+// Store is a transactional table service. Its methods are safe for concurrent use.
 type Store interface {
 	// Read returns all rows of one partition.
 	Read(ctx context.Context, table, partition string) (Page, error)
-	// Watch returns what has changed in a table since a version, in order.
-	// It waits for a change as long as it is told.
+	// Watch returns what has changed in a table since a version, in order. It waits up to the
+	// given time for a change.
 	Watch(ctx context.Context, table string, since uint64, wait time.Duration) (Page, error)
-	// Commit carries a change out and returns its version. A condition on a version of an
-	// earlier era does not hold.
+	// Commit applies a change and returns its version. A condition on a version of an earlier era
+	// does not hold.
 	Commit(ctx context.Context, c Change) (uint64, error)
-	// Era returns the newest era of the store that any answer has named.
+	// Era returns the newest era that any answer of the store has named.
 	Era() uint64
 }
--- a/internal/table/version.go
+++ b/internal/table/version.go
@@ -1,22 +1,22 @@
 package table
 
-// The store may come back from a copy some seconds old. What it had acknowledged since is gone,
-// and its version numbers are given out again: they compare within one era of the store only,
-// which it names with each answer. A version here has both, the era first, so that versions
-// compare as they are, wherever they are kept or told.
+// The store may be restored from a copy some seconds old. Later writes are then lost and their
+// version numbers reused, so numbers compare only within one era, which the store names with each
+// answer. A version here has the era in its high bits, so that versions of different eras compare
+// correctly.
 
-// eraShift is the number of bits of a version's number. With some thousand writes a second
-// they last for thirty years.
+// eraShift is the number of bits of a version's number: enough for thirty years of some thousand
+// writes a second.
 const eraShift = 40
 
-// MaxEra is the highest era that a version can have.
+// MaxEra is the highest era that fits in a version.
 const MaxEra = 1<<(64-eraShift) - 1
 
-// VersionInEra returns the version with a number in an era.
+// VersionInEra returns the version with the given number in an era.
 func VersionInEra(era, number uint64) uint64 { return era<<eraShift | number }
 
 // Era returns the era of a version.
 func Era(version uint64) uint64 { return version >> eraShift }
 
-// VersionNumber returns the number of a version within its era; zero is before all writes.
+// VersionNumber returns the number of a version within its era; zero precedes all writes.
 func VersionNumber(version uint64) uint64 { return version & (1<<eraShift - 1) }
