--- a/internal/groupcontrol/controller.go
+++ b/internal/groupcontrol/controller.go
@@ -21,7 +21,7 @@
 	endpoints Endpoints
 	directory *directory.Directory
 	suspects  func() []serving.EndpointID
-	lease     *leaseKeeper
+	lease     *leaseManager
 	log       logging.Logger
 	// wake has an entry when something happened that the plan depends on.
 	wake chan struct{}
@@ -30,33 +30,33 @@
 	// busy has the operation that each endpoint is in.
 	busy map[serving.EndpointID]*operation
 	// dead endpoints did not answer lately.
-	dead map[serving.EndpointID]death
+	dead map[serving.EndpointID]deadMark
 	// probed is when the members of a suspected group were last asked.
-	probed map[string]time.Time
+	lastProbe map[string]time.Time
 	// unopened is since when a group has been seen unopened or headless
 	// without an operation on it.
-	unopened map[string]time.Time
+	unopenedSince map[string]time.Time
 	// standing is since when a group has been seen without fault.
-	standing map[string]time.Time
+	healthySince map[string]time.Time
 	// known is what each endpoint was at a number of orders, where that is
 	// known from the endpoint itself.
-	known map[serving.EndpointID]knownState
+	knownStates map[serving.EndpointID]knownState
 	// taken endpoints said that they are in a group, against their row.
-	taken map[serving.EndpointID]time.Time
+	inOtherGroup map[serving.EndpointID]time.Time
 	// firstSeen is when each endpoint was first listed.
 	firstSeen map[serving.EndpointID]time.Time
 	// staged is what each spare was last told to stage.
-	staged map[serving.EndpointID]stagingOrder
+	stagingOrders map[serving.EndpointID]stagingOrder
 	// reserved domains, by name.
-	reserved map[string]reservation
+	reservations map[string]reservation
 	// takenOver is when groups were last ended for another model.
-	takenOver time.Time
-	epoch     uint64
+	lastTakeover time.Time
+	epoch        uint64
 	// since is when this hold of the lease began.
-	since    time.Time
-	formed   uint64
-	nextLoad time.Time
-	running  sync.WaitGroup
+	leaseSince   time.Time
+	groupsFormed uint64
+	nextLoad     time.Time
+	running      sync.WaitGroup
 }
 
 // New returns a controller that has not started. suspects returns the
@@ -67,17 +67,17 @@
 		endpoints: endpoints,
 		directory: d,
 		suspects:  suspects,
-		lease:     newLeaseKeeper(store, o),
+		lease:     newLeaseManager(store, o),
 		log:       logging.For("groups").With("data_centre", string(o.DataCentre)),
 		wake:      make(chan struct{}, 1),
 	}
-	c.lease.seenEpoch = c.seenEpoch
+	c.lease.maxSeenEpoch = c.maxSeenEpoch
 	c.reset(0)
 	return c
 }
 
-// seenEpoch is the highest lease epoch that the data centre's endpoints tell of by their groups.
-func (c *Controller) seenEpoch() uint64 {
+// maxSeenEpoch is the highest lease epoch that the data centre's endpoints tell of by their groups.
+func (c *Controller) maxSeenEpoch() uint64 {
 	highest := uint64(0)
 	for _, e := range c.directory.View().Endpoints {
 		if e.DataCentre == c.options.DataCentre {
@@ -90,18 +90,18 @@
 // reset forgets what an earlier hold of the lease knew.
 func (c *Controller) reset(epoch uint64) {
 	c.epoch = epoch
-	c.since = time.Now()
-	c.formed = 0
+	c.leaseSince = time.Now()
+	c.groupsFormed = 0
 	c.busy = map[serving.EndpointID]*operation{}
-	c.dead = map[serving.EndpointID]death{}
-	c.probed = map[string]time.Time{}
-	c.unopened = map[string]time.Time{}
-	c.standing = map[string]time.Time{}
-	c.known = map[serving.EndpointID]knownState{}
-	c.taken = map[serving.EndpointID]time.Time{}
+	c.dead = map[serving.EndpointID]deadMark{}
+	c.lastProbe = map[string]time.Time{}
+	c.unopenedSince = map[string]time.Time{}
+	c.healthySince = map[string]time.Time{}
+	c.knownStates = map[serving.EndpointID]knownState{}
+	c.inOtherGroup = map[serving.EndpointID]time.Time{}
 	c.firstSeen = map[serving.EndpointID]time.Time{}
-	c.staged = map[serving.EndpointID]stagingOrder{}
-	c.reserved = map[string]reservation{}
+	c.stagingOrders = map[serving.EndpointID]stagingOrder{}
+	c.reservations = map[string]reservation{}
 }
 
 // HoldsLease reports whether this node is the controller now.
@@ -109,7 +109,7 @@
 
 // HoldsPastExpiry reports whether this node acts under an expired lease because the store
 // does not answer.
-func (c *Controller) HoldsPastExpiry() bool { return c.lease.holdsOver() }
+func (c *Controller) HoldsPastExpiry() bool { return c.lease.heldPastExpiry() }
 
 // Epoch returns the epoch under which this node acts, or zero.
 func (c *Controller) Epoch() uint64 {
@@ -120,7 +120,7 @@
 // ObserveController records that another node of the data centre acts under an epoch. A
 // later epoch than this node's ends a hold past expiry.
 func (c *Controller) ObserveController(epoch uint64) {
-	c.lease.heardEpoch(epoch)
+	c.lease.observeEpoch(epoch)
 	if epoch > c.Epoch() {
 		c.lease.stepDown("another node acts under a later epoch")
 	}
@@ -131,7 +131,7 @@
 	leaseDone := make(chan struct{})
 	go func() {
 		defer close(leaseDone)
-		c.keepLease(ctx)
+		c.runLease(ctx)
 	}()
 	ticker := time.NewTicker(c.options.Tick)
 	defer ticker.Stop()
@@ -152,15 +152,15 @@
 	}
 }
 
-// hurry has the next tick come soon.
-func (c *Controller) hurry() {
+// requestTick has the next tick come soon.
+func (c *Controller) requestTick() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Controller) keepLease(ctx context.Context) {
+func (c *Controller) runLease(ctx context.Context) {
 	if pause(ctx, c.options.FirstReadDelay) != nil {
 		return
 	}
@@ -195,7 +195,7 @@
 		// What a peer brought of the table is a part of it: groups of which this node
 		// knows some members alone would look as if they had lost the others. Its grace
 		// for rows that lag begins with the whole.
-		c.since = now
+		c.leaseSince = now
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(view.Configuration.Services)) {
@@ -208,9 +208,9 @@
 
 // startTakeover ends groups and keeps their members for another.
 func (c *Controller) startTakeover(ctx context.Context, t takeover, now time.Time) {
-	c.reserved[t.domain] = reservation{t.model.Name, now.Add(reservedFor)}
-	if t.crosses() {
-		c.takenOver = now
+	c.reservations[t.domain] = reservation{t.model.Name, now.Add(reservationTTL)}
+	if t.changesModel() {
+		c.lastTakeover = now
 	}
 	for _, g := range t.groups {
 		c.startDissolve(ctx, g, reasonTakeover)
@@ -220,35 +220,35 @@
 // startStagings begins loads to hosts, as many as may run at once.
 func (c *Controller) startStagings(ctx context.Context, s *situation, stagings []staging, now time.Time) {
 	for _, st := range stagings {
-		if len(s.staging) >= c.loadsAtOnce(s.engine) {
+		if len(s.staging) >= c.maxConcurrentLoads(s.engine) {
 			return
 		}
-		if st.lacking == otherLacking && !c.maySpareLoad(s) {
+		if st.priority == secondModelPriority && !c.allowsSecondModelLoad(s) {
 			return
 		}
 		if s.staging[st.endpoint.ID] == "" {
 			s.staging[st.endpoint.ID] = st.model.Name
-			c.startStage(ctx, st, s.engine, now)
+			c.startStaging(ctx, st, s.engine, now)
 		}
 	}
 }
 
-// maySpareLoad reports whether a load may begin that completes no group and
+// allowsSecondModelLoad reports whether a load may begin that completes no group and
 // makes no spare: only a part of the loads that may run at once, and at the
 // start once all groups are formed.
-func (c *Controller) maySpareLoad(s *situation) bool {
+func (c *Controller) allowsSecondModelLoad(s *situation) bool {
 	if c.options.Unpaced() {
 		return len(c.busy) == 0
 	}
-	return len(s.staging) < max(1, c.loadsAtOnce(s.engine)/otherLoadsPart)
+	return len(s.staging) < max(1, c.maxConcurrentLoads(s.engine)/secondModelLoadDivisor)
 }
 
-// otherLoadsPart divides the loads at once for those of members of groups.
-const otherLoadsPart = 3
+// secondModelLoadDivisor divides the loads at once for those of members of groups.
+const secondModelLoadDivisor = 3
 
-// loadsAtOnce is how many loads this data centre runs at a time: more would
+// maxConcurrentLoads is how many loads this data centre runs at a time: more would
 // slow each other down, and those of the other data centres.
-func (c *Controller) loadsAtOnce(engine *serving.Engine) int {
+func (c *Controller) maxConcurrentLoads(engine *serving.Engine) int {
 	if engine.LoadsAtOnce <= 0 || c.options.Unpaced() {
 		return math.MaxInt
 	}
--- a/internal/groupcontrol/have.go
+++ b/internal/groupcontrol/ensure.go
@@ -34,28 +34,28 @@
 	return func(r serving.Report) bool { return !inGroup(name, epoch)(r) }
 }
 
-// have gives an order until it was taken or its condition holds. An order
+// ensure gives an order until it was taken or its condition holds. An order
 // names the number of orders that the endpoint has taken, so that one without
 // an answer is settled before the next, and is refused if it comes late.
 //
 // A join is given only to an endpoint that was in no other group at that very
 // number of orders. What rows and peers say of it may be old: a controller that
 // took over joined an endpoint whose row did not yet show its open group.
-func (o *operation) have(ctx context.Context, e *serving.Endpoint, order serving.Order, holds condition) error {
-	for range orderTries {
-		state, known := o.stateOf(e)
+func (o *operation) ensure(ctx context.Context, e *serving.Endpoint, order serving.Order, met condition) error {
+	for range maxOrderAttempts {
+		state, known := o.lastState(e)
 		if !known {
-			report, err := o.ask(ctx, e)
+			report, err := o.reportWithRetry(ctx, e)
 			if err != nil {
 				return err
 			}
-			if holds(report) {
+			if met(report) {
 				return nil
 			}
 			state = knownState{report.StartedAt, report.Orders, report.Membership}
 		}
 		if order.Kind == serving.OrderJoin && state.membership.Group != "" && state.membership.Group != order.Group {
-			o.noteTakenElsewhere(e, state)
+			o.markInOtherGroup(e, state)
 			return errInGroup
 		}
 		order.Expected = state.orders
@@ -63,7 +63,7 @@
 		switch {
 		case err == nil:
 			if !done || order.Kind == serving.OrderLeave {
-				o.noteTaken(e, order, state)
+				o.recordAccepted(e, order, state)
 			}
 			return nil
 		case errors.Is(err, errLeaseLost), errors.Is(err, ErrFenced):
@@ -73,16 +73,16 @@
 			return errMemberLost
 		}
 		o.forgetState(e.ID)
-		if err := pause(ctx, reportPause); err != nil {
+		if err := pause(ctx, checkInterval); err != nil {
 			return err
 		}
 	}
-	return errTooLate
+	return errTimeout
 }
 
-// askAll asks endpoints that were thought free, one of which is not: what is
+// refreshReports asks endpoints that were thought free, one of which is not: what is
 // believed of only a part of a group would look like a group that lost members.
-func (o *operation) askAll(ctx context.Context, members []*serving.Endpoint) {
+func (o *operation) refreshReports(ctx context.Context, members []*serving.Endpoint) {
 	var wg sync.WaitGroup
 	for _, e := range members {
 		wg.Go(func() { _, _ = o.report(ctx, e) })
@@ -90,17 +90,17 @@
 	wg.Wait()
 }
 
-// noteTakenElsewhere leaves an endpoint alone for a while that is in a group
+// markInOtherGroup leaves an endpoint alone for a while that is in a group
 // although its row says otherwise.
-func (o *operation) noteTakenElsewhere(e *serving.Endpoint, state knownState) {
+func (o *operation) markInOtherGroup(e *serving.Endpoint, state knownState) {
 	o.log.Info("an endpoint is not free", "endpoint", string(e.ID), "group", state.membership.Group, "epoch", state.membership.Epoch, "orders", state.orders)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.known, e.ID)
-	o.taken[e.ID] = time.Now()
+	delete(o.knownStates, e.ID)
+	o.inOtherGroup[e.ID] = time.Now()
 }
 
-// noteTaken notes what an endpoint is after it took an order. A leave takes
+// recordAccepted notes what an endpoint is after it took an order. A leave takes
 // effect at once, so endpoints answer that it is done: were that not noted, the
 // endpoint would count as a member until its row says otherwise, and its next
 // join would name the wrong number of orders. If it had left before, its number
@@ -110,9 +110,9 @@
 // endpoint that was in another group was taken for free, and joined and left in
 // vain once a second. One that is believed in no group takes no order by it: its number is
 // asked for before the next one.
-func (o *operation) noteTaken(e *serving.Endpoint, order serving.Order, state knownState) {
+func (o *operation) recordAccepted(e *serving.Endpoint, order serving.Order, state knownState) {
 	if order.Kind == serving.OrderLeave && state.membership.Group != "" && state.membership.Group != order.Group {
-		o.noteState(e.ID, state)
+		o.recordState(e.ID, state)
 		o.observe(e, serving.Report{StartedAt: e.StartedAt, Membership: state.membership, Model: e.Model, Orders: state.orders})
 		return
 	}
@@ -136,14 +136,14 @@
 	if order.Kind == serving.OrderJoin {
 		model = order.Model
 	}
-	o.noteState(e.ID, state)
+	o.recordState(e.ID, state)
 	if order.Kind == serving.OrderJoin || order.Kind == serving.OrderLeave {
 		o.observe(e, serving.Report{StartedAt: e.StartedAt, Membership: state.membership, Model: model, Orders: state.orders})
 	}
 }
 
-// ask has an endpoint report, and gives it up if it does not twice.
-func (o *operation) ask(ctx context.Context, e *serving.Endpoint) (serving.Report, error) {
+// reportWithRetry has an endpoint report, and gives it up if it does not twice.
+func (o *operation) reportWithRetry(ctx context.Context, e *serving.Endpoint) (serving.Report, error) {
 	var report serving.Report
 	var err error
 	for range 2 {
@@ -166,19 +166,19 @@
 // are priced; the endpoint's row is read all the time and tells it as well,
 // a little later.
 const (
-	askSoon  = 250 * time.Millisecond
-	askLater = 2 * time.Second
-	// askSoonFor is how long after the expected time an endpoint is asked
+	fastPollInterval = 250 * time.Millisecond
+	slowPollInterval = 2 * time.Second
+	// fastPollPeriod is how long after the expected time an endpoint is asked
 	// often.
-	askSoonFor = 1500 * time.Millisecond
+	fastPollPeriod = 1500 * time.Millisecond
 )
 
 // await waits until an endpoint's row or report meets a condition. It asks
 // first when the endpoint is expected to be there.
-func (o *operation) await(ctx context.Context, e *serving.Endpoint, expected, limit time.Duration, holds condition) error {
-	began := time.Now()
-	next := began.Add(expected)
-	for time.Since(began) < limit {
+func (o *operation) await(ctx context.Context, e *serving.Endpoint, expected, limit time.Duration, met condition) error {
+	start := time.Now()
+	next := start.Add(expected)
+	for time.Since(start) < limit {
 		row := o.directory.View().Endpoints[e.ID]
 		if row == nil {
 			o.markDead(e, "it is not listed any more")
@@ -188,27 +188,27 @@
 			o.markDead(e, "it has begun anew")
 			return errMemberLost
 		}
-		if holds(serving.Report{Membership: row.Membership, Model: row.Model}) {
+		if met(serving.Report{Membership: row.Membership, Model: row.Model}) {
 			return nil
 		}
 		if now := time.Now(); !now.Before(next) {
-			report, err := o.ask(ctx, e)
+			report, err := o.reportWithRetry(ctx, e)
 			if err != nil {
 				return err
 			}
-			if holds(report) {
+			if met(report) {
 				return nil
 			}
-			next = now.Add(askLater)
-			if now.Sub(began.Add(expected)) < askSoonFor {
-				next = now.Add(askSoon)
+			next = now.Add(slowPollInterval)
+			if now.Sub(start.Add(expected)) < fastPollPeriod {
+				next = now.Add(fastPollInterval)
 			}
 		}
-		if err := pause(ctx, reportPause/2); err != nil {
+		if err := pause(ctx, checkInterval/2); err != nil {
 			return err
 		}
 	}
-	return errTooLate
+	return errTimeout
 }
 
 // pause waits, unless the context ends first.
--- a/internal/groupcontrol/have_test.go
+++ b/internal/groupcontrol/ensure_test.go
@@ -13,9 +13,9 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// operationOnOne returns an operation whose only member is an endpoint that is listed and in
+// newOperation returns an operation whose only member is an endpoint that is listed and in
 // no group.
-func operationOnOne(t *testing.T) (*operation, *serving.Endpoint) {
+func newOperation(t *testing.T) (*operation, *serving.Endpoint) {
 	t.Helper()
 	d := directory.New(directory.Codec{Endpoint: func(_ string, value []byte) (e serving.Endpoint, err error) {
 		return e, json.Unmarshal(value, &e)
@@ -32,17 +32,17 @@
 // the group that was not formed must not make it look free: a controller tried the same
 // three endpoints for ten seconds.
 func TestALeaveOfAnotherGroupFreesNobody(t *testing.T) {
-	op, e := operationOnOne(t)
+	op, e := newOperation(t)
 	serves := serving.Membership{Group: "serves", Epoch: 3, State: serving.MemberOpen}
 
-	op.noteTaken(e, serving.Order{Kind: serving.OrderLeave, Group: "not formed", Epoch: 4}, knownState{0, 5, serves})
-	state, known := op.stateOf(e)
+	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "not formed", Epoch: 4}, knownState{0, 5, serves})
+	state, known := op.lastState(e)
 	require.True(t, known)
 	require.Equal(t, knownState{0, 5, serves}, state)
 	require.Equal(t, "serves", op.directory.View().Endpoints["e"].Membership.Group)
 
-	op.noteTaken(e, serving.Order{Kind: serving.OrderLeave, Group: "serves", Epoch: 3}, knownState{0, 5, serves})
-	state, _ = op.stateOf(e)
+	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "serves", Epoch: 3}, knownState{0, 5, serves})
+	state, _ = op.lastState(e)
 	require.Equal(t, knownState{orders: 6}, state)
 	require.Empty(t, op.directory.View().Endpoints["e"].Membership.Group)
 }
@@ -72,12 +72,12 @@
 // it meanwhile: it looked free at the very number of orders that it had, and its next join
 // took it out of an open group.
 func TestALeaveOfAnEndpointInNoGroupIsNotCounted(t *testing.T) {
-	op, e := operationOnOne(t)
+	op, e := newOperation(t)
 	before := knownState{0, 5, serving.Membership{}}
 	join := serving.Order{Kind: serving.OrderJoin, Group: "opens", Epoch: 3, Model: "m", Members: []serving.EndpointID{"e"}}
-	op.noteTaken(e, join, before)
-	op.noteTaken(e, serving.Order{Kind: serving.OrderLeave, Group: "not formed", Epoch: 2}, before)
-	state, known := op.stateOf(e)
+	op.recordAccepted(e, join, before)
+	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "not formed", Epoch: 2}, before)
+	state, known := op.lastState(e)
 	require.False(t, known && state.membership.Group == "", "it is asked before its next join, or known to be in its group")
 	require.Equal(t, "opens", op.directory.View().Endpoints["e"].Membership.Group)
 }
--- a/internal/groupcontrol/groups.go
+++ b/internal/groupcontrol/groups.go
@@ -27,16 +27,16 @@
 	age time.Duration
 }
 
-// far reports whether a group spans domains.
-func (g *group) far() bool {
+// spansDomains reports whether a group spans domains.
+func (g *group) spansDomains() bool {
 	return slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return e.Domain != g.members[0].Domain })
 }
 
-// deadFor is how long an endpoint that did not answer is left out.
-const deadFor = 8 * time.Second
+// deadTTL is how long an endpoint that did not answer is left out.
+const deadTTL = 8 * time.Second
 
-// death is when one incarnation of an endpoint was found not to answer.
-type death struct {
+// deadMark is when one incarnation of an endpoint was found not to answer.
+type deadMark struct {
 	at        time.Time
 	startedAt int64
 }
@@ -45,16 +45,16 @@
 // the same id does not.
 func (c *Controller) isDead(e *serving.Endpoint, now time.Time) bool {
 	d, ok := c.dead[e.ID]
-	return ok && d.startedAt == e.StartedAt && now.Sub(d.at) < deadFor
+	return ok && d.startedAt == e.StartedAt && now.Sub(d.at) < deadTTL
 }
 
-// groupKeyOf names the formation that a membership is of.
-func groupKeyOf(m serving.Membership) string {
+// groupKey names the formation that a membership is of.
+func groupKey(m serving.Membership) string {
 	return fmt.Sprintf("%s/%d", m.Group, m.Epoch)
 }
 
 func (c *Controller) addMember(groups map[string]*group, engine *serving.Engine, e *serving.Endpoint) {
-	key := groupKeyOf(e.Membership)
+	key := groupKey(e.Membership)
 	g := groups[key]
 	if g == nil {
 		g = &group{key: key, name: e.Membership.Group, epoch: e.Membership.Epoch}
@@ -77,8 +77,8 @@
 		if e.Service != service.Name || e.DataCentre != c.options.DataCentre || e.Membership.Rank == 0 || c.isBusy(e.ID) || c.isDead(e, now) {
 			continue
 		}
-		g := groups[groupKeyOf(e.Membership)]
-		if g == nil || g.head == nil || c.leftAlready(e) {
+		g := groups[groupKey(e.Membership)]
+		if g == nil || g.head == nil || c.hasLeft(e) {
 			continue
 		}
 		g.members = append(g.members, e)
@@ -86,24 +86,24 @@
 	}
 }
 
-// leftAlready reports whether a lapsed endpoint said that it is not in the group
+// hasLeft reports whether a lapsed endpoint said that it is not in the group
 // that its last row tells.
-func (c *Controller) leftAlready(e *serving.Endpoint) bool {
-	state, known := c.known[e.ID]
-	return known && state.startedAt == e.StartedAt && groupKeyOf(state.membership) != groupKeyOf(e.Membership)
+func (c *Controller) hasLeft(e *serving.Endpoint) bool {
+	state, known := c.knownStates[e.ID]
+	return known && state.startedAt == e.StartedAt && groupKey(state.membership) != groupKey(e.Membership)
 }
 
-// lookAtGroup leaves a group that stands alone, and has one that does not
+// checkGroup leaves a group that stands alone, and has one that does not
 // dissolved.
-func (c *Controller) lookAtGroup(ctx context.Context, s *situation, g *group, now time.Time) {
+func (c *Controller) checkGroup(ctx context.Context, s *situation, g *group, now time.Time) {
 	if !slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return !c.isDead(e, now) }) {
 		// There is nobody left to tell.
 		return
 	}
-	reason := c.faultOf(g, now)
+	reason := c.dissolveReason(g, now)
 	if reason == "" {
-		g.age = timeSince(c.standing, g.key, now)
-		s.stands(g)
+		g.age = trackSince(c.healthySince, g.key, now)
+		s.addHealthy(g)
 		c.probeSuspect(ctx, g, now)
 		return
 	}
@@ -115,62 +115,62 @@
 
 // Reasons to dissolve a group.
 const (
-	reasonBroken   = "its head is broken"
-	reasonLost     = "a member is gone"
-	reasonSilent   = "a member does not answer"
-	reasonLeaving  = "a member is leaving"
-	reasonUnopened = "nobody opens it"
-	reasonHeadless = "its head is not listed"
-	reasonTakeover = "its members are needed more in another group"
+	reasonBroken       = "its head is broken"
+	reasonMissing      = "a member is gone"
+	reasonUnresponsive = "a member does not answer"
+	reasonDraining     = "a member is leaving"
+	reasonUnopened     = "nobody opens it"
+	reasonHeadless     = "its head is not listed"
+	reasonTakeover     = "its members are needed more in another group"
 )
 
-// faultOf returns why a group cannot go on, or nothing.
-func (c *Controller) faultOf(g *group, now time.Time) string {
+// dissolveReason returns why a group cannot go on, or nothing.
+func (c *Controller) dissolveReason(g *group, now time.Time) string {
 	switch {
 	case g.head == nil:
-		if timeSince(c.unopened, g.key, now) < headlessFor || now.Sub(c.since) < takeoverGrace {
+		if trackSince(c.unopenedSince, g.key, now) < headlessTimeout || now.Sub(c.leaseSince) < rowLagGrace {
 			return ""
 		}
 		return reasonHeadless
 	case g.head.Membership.State == serving.MemberBroken:
 		return reasonBroken
-	case len(g.members) < g.model.Size && now.Sub(c.since) > takeoverGrace && !c.works(g, now):
-		return reasonLost
-	case slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return c.isDead(e, now) }) && !c.works(g, now):
-		return reasonSilent
+	case len(g.members) < g.model.Size && now.Sub(c.leaseSince) > rowLagGrace && !c.isServing(g, now):
+		return reasonMissing
+	case slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return c.isDead(e, now) }) && !c.isServing(g, now):
+		return reasonUnresponsive
 	case slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return e.Draining }):
-		return reasonLeaving
-	case g.head.Membership.State < serving.MemberOpen && timeSince(c.unopened, g.key, now) > unopenedFor:
+		return reasonDraining
+	case g.head.Membership.State < serving.MemberOpen && trackSince(c.unopenedSince, g.key, now) > unopenedTimeout:
 		return reasonUnopened
 	}
 	return ""
 }
 
-// eventFresh is how long an event of a group's head shows that all its members live: a
+// maxEventAge is how long an event of a group's head shows that all its members live: a
 // busy head sends one every few milliseconds, and nodes tell of it a fraction of a
 // second later.
-const eventFresh = 400 * time.Millisecond
+const maxEventAge = 400 * time.Millisecond
 
-// works reports whether a group gives its callers events now, which it cannot without
+// isServing reports whether a group gives its callers events now, which it cannot without
 // any of its members, whatever these tell control. Of twenty members that only control
 // and the store could not reach for five seconds, twelve were found dead, and their
 // groups ended while their heads gave events: a third of what callers asked for in
 // these seconds was late.
-func (c *Controller) works(g *group, now time.Time) bool {
+func (c *Controller) isServing(g *group, now time.Time) bool {
 	return c.options.LastEvent != nil && g.head != nil && g.head.Membership.State == serving.MemberOpen &&
-		now.Sub(c.options.LastEvent(g.head.ID)) < eventFresh
+		now.Sub(c.options.LastEvent(g.head.ID)) < maxEventAge
 }
 
-// unopenedFor is how long a group that no operation of this controller forms
+// unopenedTimeout is how long a group that no operation of this controller forms
 // may stay unopened before it is formed anew.
-const unopenedFor = 700 * time.Millisecond
+const unopenedTimeout = 700 * time.Millisecond
 
-// takeoverGrace is how long a new controller takes members that it does not
+// rowLagGrace is how long a new controller takes members that it does not
 // see for rows that lag.
-const takeoverGrace = 1500 * time.Millisecond
+const rowLagGrace = 1500 * time.Millisecond
 
-// timeSince returns for how long a key has been noted, and notes it if it is new.
-func timeSince[K comparable](noted map[K]time.Time, key K, now time.Time) time.Duration {
+// trackSince returns for how long a key has been noted, and notes it if it is new.
+func trackSince[K comparable](noted map[K]time.Time, key K, now time.Time) time.Duration {
 	since, ok := noted[key]
 	if !ok {
 		noted[key] = now
@@ -179,82 +179,82 @@
 	return now.Sub(since)
 }
 
-// headlessFor is how long a group may be seen without a head: rows of its
+// headlessTimeout is how long a group may be seen without a head: rows of its
 // members may come at different times.
-const headlessFor = 500 * time.Millisecond
+const headlessTimeout = 500 * time.Millisecond
 
-// stands notes a group that goes on.
-func (s *situation) stands(g *group) {
-	worth := s.worth(g)
+// addHealthy notes a group that goes on.
+func (s *situation) addHealthy(g *group) {
+	memberWeight := s.memberWeight(g)
 	for _, e := range g.members {
-		s.count(e.Domain, g.model.Name, worth)
+		s.count(e.Domain, g.model.Name, memberWeight)
 	}
 	if g.head != nil && g.head.Membership.State == serving.MemberOpen {
 		s.groups = append(s.groups, g)
 	}
 }
 
-// probeEvery is the time between two probes of a suspected group, lapsedEvery
+// probeInterval is the time between two probes of a suspected group, lapsedProbeInterval
 // that between two of members that are not listed any more.
 const (
-	probeEvery  = 600 * time.Millisecond
-	lapsedEvery = 2 * time.Second
+	probeInterval       = 600 * time.Millisecond
+	lapsedProbeInterval = 2 * time.Second
 )
 
 // probeSuspect asks the members of a group of which traffic finds one silent
 // or at fault, and those that are not listed any more.
 func (c *Controller) probeSuspect(ctx context.Context, g *group, now time.Time) {
-	since := now.Sub(c.probed[g.key])
-	if since < probeEvery {
+	since := now.Sub(c.lastProbe[g.key])
+	if since < probeInterval {
 		return
 	}
 	suspects := c.suspects()
-	asked := g.members
+	targets := g.members
 	if !slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return slices.Contains(suspects, e.ID) }) {
-		if since < lapsedEvery {
+		if since < lapsedProbeInterval {
 			return
 		}
-		asked = g.lapsed
+		targets = g.lapsed
 	}
-	if len(asked) == 0 {
+	if len(targets) == 0 {
 		return
 	}
-	c.probed[g.key] = now
-	for _, e := range asked {
+	c.lastProbe[g.key] = now
+	for _, e := range targets {
 		c.running.Go(func() { c.probe(ctx, e) })
 	}
 }
 
-// probeAgain is the time after which an endpoint that has not answered a probe
+// probeHedgeDelay is the time after which an endpoint that has not answered a probe
 // yet is sent a second one.
-const probeAgain = 100 * time.Millisecond
+const probeHedgeDelay = 100 * time.Millisecond
 
 // probe marks an endpoint dead if it answers neither of two probes, which
 // overlap: groups that stand still wait for this.
 func (c *Controller) probe(ctx context.Context, e *serving.Endpoint) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan error, 2)
-	ask := func() {
+	responses := make(chan error, 2)
+	send := func() {
 		_, err := c.report(ctx, e)
-		answers <- err
+		responses <- err
 	}
-	go ask()
-	timer := time.NewTimer(probeAgain)
+	go send()
+	timer := time.NewTimer(probeHedgeDelay)
 	defer timer.Stop()
-	for asked, failed := 1, 0; failed < asked; {
+	for sent, failed := 1, 0; failed < sent; {
 		select {
 		case <-timer.C:
-			asked++
-			go ask()
-		case err := <-answers:
+			sent++
+			go send()
+		case err := <-responses:
 			if err == nil {
 				return
 			}
 			failed++
-			if asked < 2 && !errors.Is(err, ErrOtherIncarnation) {
-				asked++
-				go ask()
+			if sent < 2 && !errors.Is(err, ErrOtherIncarnation) {
+				sent++
+				go send()
 				timer.Stop()
 			}
 		}
@@ -267,10 +267,10 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	known := c.isDead(e, now)
-	c.dead[e.ID] = death{now, e.StartedAt}
+	c.dead[e.ID] = deadMark{now, e.StartedAt}
 	if known {
 		return
 	}
-	c.hurry()
+	c.requestTick()
 	c.log.Warn("an endpoint counts as dead", "endpoint", string(e.ID), "address", e.Address, "group", e.Membership.Group, "why", why)
 }
--- a/internal/groupcontrol/lease.go
+++ b/internal/groupcontrol/lease.go
@@ -18,26 +18,26 @@
 	leaseKey   = "controller"
 )
 
-// leaseKeeper keeps the lease machine going against the table.
-type leaseKeeper struct {
+// leaseManager keeps the lease machine going against the table.
+type leaseManager struct {
 	store     table.Store
 	partition string
 	timeout   time.Duration
 	log       logging.Logger
 
 	// holderLives spares a look at the row while the holder speaks.
-	holderLives func() bool
-	holderKnown func(row lease.Row)
+	holderAlive  func() bool
+	onHolderRead func(row lease.Row)
 	// rank is this node's place among those that look at the row.
-	rank  func() int
-	renew time.Duration
+	rank          func() int
+	renewInterval time.Duration
 	// now counts time in which the machine was suspended: the lease runs out meanwhile.
 	now func() time.Time
 	// began is when this node started.
-	began time.Time
+	startedAt time.Time
 
 	// seenEpoch returns the highest lease epoch of which endpoints tell.
-	seenEpoch func() uint64
+	maxSeenEpoch func() uint64
 
 	mu      sync.Mutex
 	machine *lease.Machine
@@ -51,22 +51,22 @@
 // just started knows nothing else.
 const epochsPerEra = 1 << 16
 
-func newLeaseKeeper(store table.Store, o Options) *leaseKeeper {
+func newLeaseManager(store table.Store, o Options) *leaseManager {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	return &leaseKeeper{
+	return &leaseManager{
 		store:     store,
 		partition: string(o.DataCentre),
 		timeout:   o.LeaseTTL / 3,
 
-		holderLives: o.HolderAlive,
-		holderKnown: o.OnHolderRead,
-		rank:        o.Rank,
-		renew:       o.LeaseTTL / 3,
-		now:         o.Now,
-		began:       o.Now(),
-		log:         logging.For("lease"),
+		holderAlive:   o.HolderAlive,
+		onHolderRead:  o.OnHolderRead,
+		rank:          o.Rank,
+		renewInterval: o.LeaseTTL / 3,
+		now:           o.Now,
+		startedAt:     o.Now(),
+		log:           logging.For("lease"),
 		machine: lease.New(lease.Options{
 			Self:          o.Node,
 			Address:       o.Address,
@@ -81,75 +81,75 @@
 }
 
 // Held reports whether this node may act, and under which epoch.
-func (k *leaseKeeper) Held() (epoch uint64, held bool) {
-	now := k.now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	epoch, held = k.machine.Held(now)
-	if held != k.held {
-		k.held = held
-		holder, known := k.machine.Holder()
-		k.log.Info("this node's hold has changed", "data_centre", k.partition, "held", held, "holder", holder, "epoch", known)
+func (m *leaseManager) Held() (epoch uint64, held bool) {
+	now := m.now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	epoch, held = m.machine.Held(now)
+	if held != m.held {
+		m.held = held
+		holder, known := m.machine.Holder()
+		m.log.Info("this node's hold has changed", "data_centre", m.partition, "held", held, "holder", holder, "epoch", known)
 	}
 	return epoch, held
 }
 
-// holdsOver reports whether this node acts past its lease, while the store
+// heldPastExpiry reports whether this node acts past its lease, while the store
 // does not answer.
-func (k *leaseKeeper) holdsOver() bool {
-	now := k.now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.machine.HeldPastExpiry(now)
+func (m *leaseManager) heldPastExpiry() bool {
+	now := m.now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.machine.HeldPastExpiry(now)
 }
 
 // stepDown ends a hold past the lease, with the reason for the log.
-func (k *leaseKeeper) stepDown(reason string) {
-	now := k.now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.machine.StepDown(now) {
-		k.log.Info("gives up its hold past the lease", "data_centre", k.partition, "reason", reason)
+func (m *leaseManager) stepDown(reason string) {
+	now := m.now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.machine.StepDown(now) {
+		m.log.Info("gives up its hold past the lease", "data_centre", m.partition, "reason", reason)
 	}
 }
 
-// meetEra gives a hold of an earlier era of the store up, and reports whether there is a new
+// checkEra gives a hold of an earlier era of the store up, and reports whether there is a new
 // one.
-func (k *leaseKeeper) meetEra() bool {
-	era := k.store.Era()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if era == k.era {
+func (m *leaseManager) checkEra() bool {
+	era := m.store.Era()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if era == m.era {
 		return false
 	}
-	k.machine.ObserveEpoch(era * epochsPerEra)
-	if k.era > 0 || k.held {
-		k.log.Info("the store is of another era; a hold of the one before is given up", "data_centre", k.partition, "era", era, "before", k.era, "held", k.held)
-		k.machine.Abandon()
+	m.machine.ObserveEpoch(era * epochsPerEra)
+	if m.era > 0 || m.held {
+		m.log.Info("the store is of another era; a hold of the one before is given up", "data_centre", m.partition, "era", era, "before", m.era, "held", m.held)
+		m.machine.Abandon()
 	}
-	k.era = era
+	m.era = era
 	return true
 }
 
-// heardEpoch notes an epoch under which another node acts.
-func (k *leaseKeeper) heardEpoch(epoch uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.machine.ObserveEpoch(epoch)
+// observeEpoch notes an epoch under which another node acts.
+func (m *leaseManager) observeEpoch(epoch uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.machine.ObserveEpoch(epoch)
 }
 
 // step does what the machine asks for, if anything.
-func (k *leaseKeeper) step(ctx context.Context) {
-	k.meetEra()
-	now := k.now()
-	action := k.next(now)
-	ctx, cancel := context.WithTimeout(ctx, k.timeout)
+func (m *leaseManager) step(ctx context.Context) {
+	m.checkEra()
+	now := m.now()
+	action := m.next(now)
+	ctx, cancel := context.WithTimeout(ctx, m.timeout)
 	defer cancel()
 	switch action.Kind {
 	case lease.ActionRead:
-		k.read(ctx)
+		m.read(ctx)
 	case lease.ActionAcquire, lease.ActionRenew:
-		k.write(ctx, now, action)
+		m.write(ctx, now, action)
 	}
 }
 
@@ -157,52 +157,52 @@
 // speaks. Once it is silent the nodes look in their order, each place a third of the
 // lease's time after the one before: sixty nodes that all look make ninety calls a
 // second.
-func (k *leaseKeeper) next(now time.Time) lease.Action {
-	place := 0
-	if k.rank != nil {
-		place = k.rank()
+func (m *leaseManager) next(now time.Time) lease.Action {
+	position := 0
+	if m.rank != nil {
+		position = m.rank()
 	}
-	lives := k.holderLives != nil && k.holderLives()
+	alive := m.holderAlive != nil && m.holderAlive()
 	seen := uint64(0)
-	if k.seenEpoch != nil && !lives {
-		seen = k.seenEpoch()
+	if m.maxSeenEpoch != nil && !alive {
+		seen = m.maxSeenEpoch()
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.machine.ObserveEpoch(seen)
-	turn := time.Duration(place) * k.renew
-	k.machine.SetReadInterval(turn)
-	_, held := k.machine.Held(now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.machine.ObserveEpoch(seen)
+	delay := time.Duration(position) * m.renewInterval
+	m.machine.SetReadInterval(delay)
+	_, held := m.machine.Held(now)
 	switch {
 	case held:
-	case lives:
-		k.machine.ObserveHolder(now)
+	case alive:
+		m.machine.ObserveHolder(now)
 		return lease.Action{}
-	case now.Sub(k.began) < turn:
+	case now.Sub(m.startedAt) < delay:
 		// It was told its place before it ever looked: those before it have looked.
 		return lease.Action{}
 	}
-	return k.machine.Next(now)
+	return m.machine.Next(now)
 }
 
-func (k *leaseKeeper) read(ctx context.Context) {
-	row, version, err := k.fetch(ctx)
-	if err == nil && version != 0 && k.holderKnown != nil {
-		k.holderKnown(row)
+func (m *leaseManager) read(ctx context.Context) {
+	row, version, err := m.fetch(ctx)
+	if err == nil && version != 0 && m.onHolderRead != nil {
+		m.onHolderRead(row)
 	}
-	k.meetEra()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.checkEra()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if err != nil {
-		k.machine.StoreUnavailable()
+		m.machine.StoreUnavailable()
 		return
 	}
-	k.machine.ReadDone(k.now(), row, version)
+	m.machine.ReadDone(m.now(), row, version)
 }
 
 // fetch reads the row; its version is zero while there is none.
-func (k *leaseKeeper) fetch(ctx context.Context) (row lease.Row, version uint64, err error) {
-	page, err := k.store.Read(ctx, LeaseTable, k.partition)
+func (m *leaseManager) fetch(ctx context.Context) (row lease.Row, version uint64, err error) {
+	page, err := m.store.Read(ctx, LeaseTable, m.partition)
 	if err != nil {
 		return row, 0, err
 	}
@@ -214,56 +214,56 @@
 	return row, version, nil
 }
 
-func (k *leaseKeeper) write(ctx context.Context, asked time.Time, action lease.Action) {
+func (m *leaseManager) write(ctx context.Context, requestedAt time.Time, action lease.Action) {
 	value, _ := json.Marshal(action.Row) // A plain struct always encodes.
-	row := table.Row{Table: LeaseTable, Partition: k.partition, Key: leaseKey}
+	row := table.Row{Table: LeaseTable, Partition: m.partition, Key: leaseKey}
 	condition, written := row, row
 	condition.Version = action.Version
 	written.Value = value
-	version, err := k.store.Commit(ctx, table.Change{Conditions: []table.Row{condition}, Writes: []table.Row{written}})
-	switch restored := k.meetEra(); {
+	version, err := m.store.Commit(ctx, table.Change{Conditions: []table.Row{condition}, Writes: []table.Row{written}})
+	switch restored := m.checkEra(); {
 	case err == nil:
-		k.mu.Lock()
-		defer k.mu.Unlock()
+		m.mu.Lock()
+		defer m.mu.Unlock()
 		// The epoch may be one that the lost time has seen already.
-		k.machine.WriteDone(asked, action.Row, version, !restored)
+		m.machine.WriteDone(requestedAt, action.Row, version, !restored)
 	case errors.Is(err, table.ErrUnavailable):
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.machine.StoreUnavailable()
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.machine.StoreUnavailable()
 	default:
-		k.settle(ctx, asked, action)
+		m.resolveWrite(ctx, requestedAt, action)
 	}
 }
 
-// settle finds out what became of a write that was not answered, or that met
+// resolveWrite finds out what became of a write that was not answered, or that met
 // a change: an earlier write of this very life may have been the change.
-func (k *leaseKeeper) settle(ctx context.Context, asked time.Time, action lease.Action) {
-	row, version, err := k.fetch(ctx)
-	restored := k.meetEra()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *leaseManager) resolveWrite(ctx context.Context, requestedAt time.Time, action lease.Action) {
+	row, version, err := m.fetch(ctx)
+	restored := m.checkEra()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case err != nil || version == action.Version:
-		k.machine.StoreUnavailable()
-	case row.Holder == action.Row.Holder && row.Epoch == action.Row.Epoch && !restored && isOfEra(action.Version, k.era):
-		k.machine.WriteDone(asked, row, version, true)
+		m.machine.StoreUnavailable()
+	case row.Holder == action.Row.Holder && row.Epoch == action.Row.Epoch && !restored && isFromEra(action.Version, m.era):
+		m.machine.WriteDone(requestedAt, row, version, true)
 	default:
-		k.machine.WriteDone(asked, action.Row, 0, false)
+		m.machine.WriteDone(requestedAt, action.Row, 0, false)
 	}
 }
 
-// isOfEra reports whether a row that was to be replaced was absent or of an era: what became of
+// isFromEra reports whether a row that was to be replaced was absent or of an era: what became of
 // a write is told by the era of the store in which it was asked for alone.
-func isOfEra(version, era uint64) bool { return version == 0 || table.Era(version) == era }
+func isFromEra(version, era uint64) bool { return version == 0 || table.Era(version) == era }
 
 // release gives the lease up, so that another node need not wait for its end.
-func (k *leaseKeeper) release(ctx context.Context) {
-	now := k.now()
-	k.mu.Lock()
-	action, ok := k.machine.Release(now)
-	k.mu.Unlock()
+func (m *leaseManager) release(ctx context.Context) {
+	now := m.now()
+	m.mu.Lock()
+	action, ok := m.machine.Release(now)
+	m.mu.Unlock()
 	if ok {
-		k.write(ctx, now, action)
+		m.write(ctx, now, action)
 	}
 }
--- a/internal/groupcontrol/lease_test.go
+++ b/internal/groupcontrol/lease_test.go
@@ -19,10 +19,10 @@
 		name string
 		rank int
 		// lives is set while the holder speaks.
-		lives bool
+		alive bool
 		// after is the time since the start, looks whether the lease is looked at.
 		after time.Duration
-		looks bool
+		reads bool
 	}{
 		{"the first at once", 0, false, 0, true},
 		{"nobody while the holder speaks", 0, true, 0, false},
@@ -30,13 +30,13 @@
 		{"and then it does", 3, false, 3100 * time.Millisecond, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			k := newLeaseKeeper(nil, Options{
+			m := newLeaseManager(nil, Options{
 				Node: "n", LeaseTTL: ttl,
 				Rank:        func() int { return test.rank },
-				HolderAlive: func() bool { return test.lives },
+				HolderAlive: func() bool { return test.alive },
 			})
-			action := k.next(k.began.Add(test.after))
-			require.Equal(t, test.looks, action.Kind != lease.ActionNone)
+			action := m.next(m.startedAt.Add(test.after))
+			require.Equal(t, test.reads, action.Kind != lease.ActionNone)
 		})
 	}
 }
@@ -49,12 +49,12 @@
 	store := memtable.New()
 	now := time.Now()
 	clock := func() time.Time { return now }
-	first := newLeaseKeeper(store, Options{Node: "first", LeaseTTL: ttl, Now: clock})
-	second := newLeaseKeeper(store, Options{Node: "second", LeaseTTL: ttl, Now: clock})
-	run := func(d time.Duration, keepers ...*leaseKeeper) {
+	first := newLeaseManager(store, Options{Node: "first", LeaseTTL: ttl, Now: clock})
+	second := newLeaseManager(store, Options{Node: "second", LeaseTTL: ttl, Now: clock})
+	run := func(d time.Duration, managers ...*leaseManager) {
 		for until := now.Add(d); now.Before(until); now = now.Add(ttl / 30) {
-			for _, k := range keepers {
-				k.step(t.Context())
+			for _, m := range managers {
+				m.step(t.Context())
 			}
 		}
 	}
--- a/internal/groupcontrol/loadpace_test.go
+++ b/internal/groupcontrol/loadpace_test.go
@@ -19,7 +19,7 @@
 		dataCentres = 2
 		window      = 5 * time.Second
 	)
-	for name, hold := range map[string]time.Duration{"one hold": time.Hour, "a takeover each second": time.Second, "a takeover each 0.2 s": 200 * time.Millisecond} {
+	for name, held := range map[string]time.Duration{"one hold": time.Hour, "a takeover each second": time.Second, "a takeover each 0.2 s": 200 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				engine := &serving.Engine{LoadsPerSec: loadsPerSec}
@@ -30,10 +30,10 @@
 					began := time.Now()
 					c := &Controller{options: options, log: logging.For("groups")}
 					c.reset(1)
-					for time.Since(began) < hold && time.Since(start) < window {
+					for time.Since(began) < held && time.Since(start) < window {
 						wait := c.reserveLoad(engine, time.Now())
-						if time.Since(began)+wait >= hold {
-							time.Sleep(hold - time.Since(began))
+						if time.Since(began)+wait >= held {
+							time.Sleep(held - time.Since(began))
 							break
 						}
 						time.Sleep(wait)
--- a/internal/groupcontrol/operations.go
+++ b/internal/groupcontrol/operations.go
@@ -19,35 +19,35 @@
 	epoch   uint64
 	members []*serving.Endpoint
 	// what says what it does: a model's name if it forms a group of it.
-	what string
+	purpose string
 }
 
 const (
-	// reportPause is the time between two looks at a member that is on its
+	// checkInterval is the time between two looks at a member that is on its
 	// way.
-	reportPause = 120 * time.Millisecond
-	// orderTries bounds the orders of one kind to one endpoint.
-	orderTries = 6
-	// joinSlack is added to a model's load time before a member that is not
+	checkInterval = 120 * time.Millisecond
+	// maxOrderAttempts bounds the orders of one kind to one endpoint.
+	maxOrderAttempts = 6
+	// joinTimeoutMargin is added to a model's load time before a member that is not
 	// ready is given up.
-	joinSlack = 8 * time.Second
-	// joinMargin is added to a member's expected time before it is asked.
-	joinMargin = 30 * time.Millisecond
-	// formationTime is when a head is asked whether it has opened.
-	formationTime = 320 * time.Millisecond
-	// busyDissolving marks the members of a group that is being ended.
-	busyDissolving = "dissolving"
+	joinTimeoutMargin = 8 * time.Second
+	// joinPollDelay is added to a member's expected time before it is asked.
+	joinPollDelay = 30 * time.Millisecond
+	// expectedOpenTime is when a head is asked whether it has opened.
+	expectedOpenTime = 320 * time.Millisecond
+	// purposeDissolve marks the members of a group that is being ended.
+	purposeDissolve = "dissolving"
 )
 
 var (
 	errMemberLost = errors.New("a member is lost")
 	errInGroup    = errors.New("the endpoint is in another group")
-	errTooLate    = errors.New("the endpoint did not get there in time")
+	errTimeout    = errors.New("the endpoint did not get there in time")
 )
 
 // begin marks the members; the caller holds the lock.
-func (c *Controller) begin(members []*serving.Endpoint, what string) *operation {
-	op := &operation{Controller: c, epoch: c.epoch, members: members, what: what}
+func (c *Controller) begin(members []*serving.Endpoint, purpose string) *operation {
+	op := &operation{Controller: c, epoch: c.epoch, members: members, purpose: purpose}
 	for _, e := range members {
 		c.busy[e.ID] = op
 	}
@@ -66,11 +66,11 @@
 			delete(o.busy, e.ID)
 		}
 	}
-	o.hurry()
+	o.requestTick()
 }
 
-// startForm begins to form a group; the caller holds the lock.
-func (c *Controller) startForm(ctx context.Context, f formation, engine *serving.Engine, now time.Time) {
+// startFormation begins to form a group; the caller holds the lock.
+func (c *Controller) startFormation(ctx context.Context, f formation, engine *serving.Engine, now time.Time) {
 	for _, e := range f.members {
 		invariant.Check(e.Membership.Group == "", invariant.OneGroup, "endpoint %s is in %s", e.ID, e.Membership.Group)
 	}
@@ -78,43 +78,43 @@
 	name, epoch := c.nextGroup()
 	waits := make([]time.Duration, len(f.members))
 	for i, e := range f.members {
-		if startTime(e, f.model) >= f.model.LoadTime {
+		if startDuration(e, f.model) >= f.model.LoadTime {
 			waits[i] = c.reserveLoad(engine, now)
 		}
 	}
 	c.log.Info("forms a group", "group", name, "epoch", epoch, "model", f.model.Name, "members", f.ids(), "domain", f.members[0].Domain)
 	c.running.Go(func() {
 		defer op.finish()
-		began := time.Now()
+		start := time.Now()
 		err := op.form(ctx, f, name, epoch, waits)
 		if err != nil && ctx.Err() == nil {
 			// Whoever has joined is free for the next try at once.
 			_ = op.dissolve(ctx, &group{name: name, epoch: epoch, members: f.members})
 		}
-		c.log.Info("ended forming a group", "group", name, "epoch", epoch, "took", time.Since(began), "error", err)
+		c.log.Info("ended forming a group", "group", name, "epoch", epoch, "took", time.Since(start), "error", err)
 	})
 }
 
 // nextGroup returns a name and an epoch that were never used; the caller holds
 // the lock.
 func (c *Controller) nextGroup() (name string, epoch uint64) {
-	c.formed++
-	return fmt.Sprintf("%s-%d-%d", c.options.DataCentre, c.epoch, c.formed), c.epoch*epochsPerLease + c.formed
+	c.groupsFormed++
+	return fmt.Sprintf("%s-%d-%d", c.options.DataCentre, c.epoch, c.groupsFormed), c.epoch*epochsPerLease + c.groupsFormed
 }
 
-// busyRehearsing marks an endpoint that joins a group of its own.
-const busyRehearsing = "rehearsing"
+// purposeWarmUp marks an endpoint that joins a group of its own.
+const purposeWarmUp = "rehearsing"
 
-// startRehearsal begins to have an endpoint start its model in a group of its
+// startWarmUp begins to have an endpoint start its model in a group of its
 // own, and leave it; the caller holds the lock.
-func (c *Controller) startRehearsal(ctx context.Context, r rehearsal) {
+func (c *Controller) startWarmUp(ctx context.Context, r warmUp) {
 	members := []*serving.Endpoint{r.endpoint}
-	op := c.begin(members, busyRehearsing)
+	op := c.begin(members, purposeWarmUp)
 	name, epoch := c.nextGroup()
 	join := serving.Order{Kind: serving.OrderJoin, Group: name, Epoch: epoch, Model: r.model.Name, Members: []serving.EndpointID{r.endpoint.ID}, Fence: op.epoch}
 	c.running.Go(func() {
 		defer op.finish()
-		err := op.join(ctx, r.endpoint, join, 0, r.model.WarmTime, loadPatience*r.model.LoadTime+joinSlack)
+		err := op.join(ctx, r.endpoint, join, 0, r.model.WarmTime, loadTimeoutFactor*r.model.LoadTime+joinTimeoutMargin)
 		_ = op.dissolve(ctx, &group{name: name, epoch: epoch, members: members})
 		c.log.Info("had a spare start its model", "endpoint", string(r.endpoint.ID), "model", r.model.Name, "group", name, "epoch", epoch, "error", err)
 	})
@@ -132,7 +132,7 @@
 		return 0
 	}
 	pause := time.Duration(float64(c.options.DataCentres) / engine.LoadsPerSec * float64(time.Second))
-	at := slices.MaxFunc([]time.Time{now, c.nextLoad, c.since.Add(pause)}, time.Time.Compare)
+	at := slices.MaxFunc([]time.Time{now, c.nextLoad, c.leaseSince.Add(pause)}, time.Time.Compare)
 	c.nextLoad = at.Add(pause)
 	return at.Sub(now)
 }
@@ -148,7 +148,7 @@
 	var ready atomic.Int64
 	for i, e := range f.members {
 		wg.Go(func() {
-			if err := o.join(joining, e, join, waits[i], startTime(e, f.model), loadPatience*f.model.LoadTime+joinSlack); err != nil {
+			if err := o.join(joining, e, join, waits[i], startDuration(e, f.model), loadTimeoutFactor*f.model.LoadTime+joinTimeoutMargin); err != nil {
 				cancel(err)
 				return
 			}
@@ -157,7 +157,7 @@
 	}
 	wg.Wait()
 	if errors.Is(context.Cause(joining), errInGroup) {
-		o.askAll(ctx, f.members)
+		o.refreshReports(ctx, f.members)
 	}
 	if joining.Err() != nil {
 		return context.Cause(joining)
@@ -165,39 +165,39 @@
 	invariant.Check(int(ready.Load()) == f.model.Size, invariant.GroupWhole, "group %s has %d members ready", name, ready.Load())
 	head := f.members[0]
 	open := serving.Order{Kind: serving.OrderOpen, Group: name, Epoch: epoch, Fence: o.epoch}
-	if err := o.have(ctx, head, open, opened(name, epoch)); err != nil {
+	if err := o.ensure(ctx, head, open, opened(name, epoch)); err != nil {
 		return err
 	}
-	return o.await(ctx, head, formationTime, joinSlack, opened(name, epoch))
+	return o.await(ctx, head, expectedOpenTime, joinTimeoutMargin, opened(name, epoch))
 }
 
-// loadPatience is how many load times a member may take: loads that run at
+// loadTimeoutFactor is how many load times a member may take: loads that run at
 // once slow each other down.
-const loadPatience = 3
+const loadTimeoutFactor = 3
 
 // join has one member join and waits until it is ready.
 func (o *operation) join(ctx context.Context, e *serving.Endpoint, order serving.Order, wait, expected, limit time.Duration) error {
 	if err := pause(ctx, wait); err != nil {
 		return err
 	}
-	if err := o.have(ctx, e, order, inGroup(order.Group, order.Epoch)); err != nil {
+	if err := o.ensure(ctx, e, order, inGroup(order.Group, order.Epoch)); err != nil {
 		return err
 	}
-	return o.await(ctx, e, expected+joinMargin, limit, ready(order.Group, order.Epoch))
+	return o.await(ctx, e, expected+joinPollDelay, limit, ready(order.Group, order.Epoch))
 }
 
 // startDissolve begins to end a group; the caller holds the lock.
 func (c *Controller) startDissolve(ctx context.Context, g *group, reason string) {
-	op := c.begin(g.members, busyDissolving)
+	op := c.begin(g.members, purposeDissolve)
 	c.log.Info("dissolves a group", "group", g.name, "epoch", g.epoch, "reason", reason, "members", len(g.members))
 	c.running.Go(func() {
 		defer op.finish()
-		began := time.Now()
-		if reason == reasonLeaving {
+		start := time.Now()
+		if reason == reasonDraining {
 			op.drain(ctx, g)
 		}
 		err := op.dissolve(ctx, g)
-		c.log.Info("ended dissolving a group", "group", g.name, "epoch", g.epoch, "took", time.Since(began), "error", err)
+		c.log.Info("ended dissolving a group", "group", g.name, "epoch", g.epoch, "took", time.Since(start), "error", err)
 	})
 }
 
@@ -210,11 +210,11 @@
 	var wg sync.WaitGroup
 	for i, e := range g.members {
 		wg.Go(func() {
-			if o.isLost(e) {
+			if o.isMemberDead(e) {
 				errs[i] = errMemberLost
 				return
 			}
-			if errs[i] = o.have(ctx, e, leave, left(g.name, g.epoch)); errs[i] == nil {
+			if errs[i] = o.ensure(ctx, e, leave, left(g.name, g.epoch)); errs[i] == nil {
 				o.release(e)
 			}
 		})
@@ -223,8 +223,8 @@
 	return errors.Join(errs...)
 }
 
-// isLost reports whether an endpoint counts as dead.
-func (o *operation) isLost(e *serving.Endpoint) bool {
+// isMemberDead reports whether an endpoint counts as dead.
+func (o *operation) isMemberDead(e *serving.Endpoint) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.isDead(e, time.Now())
@@ -248,15 +248,15 @@
 		if err != nil || report.Running+report.Queued == 0 {
 			return
 		}
-		if pause(ctx, 2*reportPause) != nil {
+		if pause(ctx, 2*checkInterval) != nil {
 			return
 		}
 	}
 }
 
-// startStage loads a model to a spare's host; the caller holds the lock.
-func (c *Controller) startStage(ctx context.Context, s staging, engine *serving.Engine, now time.Time) {
-	c.staged[s.endpoint.ID] = stagingOrder{s.model.Name, now.Add(loadPatience*s.model.LoadTime + joinSlack)}
+// startStaging loads a model to a spare's host; the caller holds the lock.
+func (c *Controller) startStaging(ctx context.Context, s staging, engine *serving.Engine, now time.Time) {
+	c.stagingOrders[s.endpoint.ID] = stagingOrder{s.model.Name, now.Add(loadTimeoutFactor*s.model.LoadTime + joinTimeoutMargin)}
 	wait := c.reserveLoad(engine, now)
 	order := serving.Order{Kind: serving.OrderStage, Model: s.model.Name, Fence: c.epoch}
 	op := &operation{Controller: c, epoch: c.epoch}
@@ -264,7 +264,7 @@
 		if pause(ctx, wait) != nil {
 			return
 		}
-		err := op.have(ctx, s.endpoint, order, func(r serving.Report) bool { return slices.Contains(r.Staged, s.model.Name) })
+		err := op.ensure(ctx, s.endpoint, order, func(r serving.Report) bool { return slices.Contains(r.Staged, s.model.Name) })
 		c.log.Info("told a spare to stage a model", "endpoint", string(s.endpoint.ID), "model", s.model.Name, "error", err)
 	})
 }
--- a/internal/groupcontrol/orders.go
+++ b/internal/groupcontrol/orders.go
@@ -18,7 +18,7 @@
 		return report, err
 	}
 	c.observe(e, report)
-	c.noteState(e.ID, knownState{report.StartedAt, report.Orders, report.Membership})
+	c.recordState(e.ID, knownState{report.StartedAt, report.Orders, report.Membership})
 	if report.StartedAt != e.StartedAt {
 		// It has begun anew under its id: it is in none of the groups that the incarnation
 		// before was in.
@@ -36,24 +36,24 @@
 	membership serving.Membership
 }
 
-func (c *Controller) noteState(id serving.EndpointID, state knownState) {
+func (c *Controller) recordState(id serving.EndpointID, state knownState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known[id] = state
+	c.knownStates[id] = state
 }
 
-// stateOf returns the last known state of an endpoint's incarnation, if there is one.
-func (c *Controller) stateOf(e *serving.Endpoint) (knownState, bool) {
+// lastState returns the last known state of an endpoint's incarnation, if there is one.
+func (c *Controller) lastState(e *serving.Endpoint) (knownState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	state, ok := c.known[e.ID]
+	state, ok := c.knownStates[e.ID]
 	return state, ok && state.startedAt == e.StartedAt
 }
 
 func (c *Controller) forgetState(id serving.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.known, id)
+	delete(c.knownStates, id)
 }
 
 // observe lets the directory know what an endpoint said, ahead of its row.
--- a/internal/groupcontrol/plan.go
+++ b/internal/groupcontrol/plan.go
@@ -34,12 +34,12 @@
 	free []*serving.Endpoint
 	// soon are endpoints that will be free in a moment: they are leaving a group
 	// that is being ended.
-	soon []*serving.Endpoint
+	soonFree []*serving.Endpoint
 	// working counts, by domain and model, the endpoints of groups that stand
 	// or are being formed; those of groups across domains count for less.
-	working map[string]map[string]float64
+	inUse map[string]map[string]float64
 	// elsewhere counts, by model, the endpoints of groups in other data centres.
-	elsewhere map[string]float64
+	remote map[string]float64
 	// staging has the models that are on their way to hosts.
 	staging map[serving.EndpointID]string
 	// groups are those that stand without fault.
@@ -51,7 +51,7 @@
 	growing map[string]bool
 	weights Weights
 	// settling is set shortly after groups were ended for another model.
-	settling bool
+	inCooldown bool
 	// demand is the work asked of each model over all data centres, in groups
 	// that would be busy with it all the time.
 	demand map[string]float64
@@ -71,10 +71,10 @@
 
 // count adds endpoints to what works in a domain.
 func (s *situation) count(domain, model string, n float64) {
-	if s.working[domain] == nil {
-		s.working[domain] = map[string]float64{}
+	if s.inUse[domain] == nil {
+		s.inUse[domain] = map[string]float64{}
 	}
-	s.working[domain][model] += n
+	s.inUse[domain][model] += n
 }
 
 // decision is what a plan asks for.
@@ -82,14 +82,14 @@
 	formations []formation
 	takeovers  []takeover
 	stagings   []staging
-	rehearsals []rehearsal
+	warmUps    []warmUp
 }
 
 // freeByDomain has the free endpoints that a plan has not used yet.
 type freeByDomain map[string][]*serving.Endpoint
 
-// use takes endpoints out.
-func (f freeByDomain) use(members []*serving.Endpoint) {
+// remove takes endpoints out.
+func (f freeByDomain) remove(members []*serving.Endpoint) {
 	for domain := range f {
 		f[domain] = slices.DeleteFunc(f[domain], func(e *serving.Endpoint) bool { return slices.Contains(members, e) })
 	}
@@ -105,47 +105,47 @@
 	var d decision
 	if !s.open {
 		// Loads for groups go first.
-		d.formations = s.withLoads(free)
+		d.formations = s.initialFormations(free)
 		return d
 	}
-	for s.step(&d, free) {
+	for s.addNext(&d, free) {
 	}
 	if s.weights.AcrossDomains {
 		d.formations = append(d.formations, s.acrossDomains(free)...)
 	}
 	d.stagings = s.stage(free)
 	if s.weights.WarmSpares {
-		d.rehearsals = s.rehearse(free)
+		d.warmUps = s.chooseWarmUps(free)
 	}
 	return d
 }
 
-// step adds the next formation or takeover to a decision, that of the neediest
+// addNext adds the next formation or takeover to a decision, that of the neediest
 // model for which there is one.
-func (s *situation) step(d *decision, free freeByDomain) bool {
+func (s *situation) addNext(d *decision, free freeByDomain) bool {
 	for _, model := range s.byNeed() {
-		if f, ok := s.formationOf(model, free); ok {
+		if f, ok := s.warmFormation(model, free); ok {
 			d.formations = append(d.formations, f)
 			s.count(f.members[0].Domain, model.Name, float64(model.Size))
-			free.use(f.members)
+			free.remove(f.members)
 			return true
 		}
 		switch t, outcome := s.takeoverFor(model, free); outcome {
 		case takeoverFound:
 			d.takeovers = append(d.takeovers, t)
-			s.settling = s.settling || t.crosses()
+			s.inCooldown = s.inCooldown || t.changesModel()
 			s.end(t.groups)
 			s.reserved[t.domain] = model.Name
 			return true
-		case takeoverWaits:
+		case takeoverPending:
 			s.reserved[t.domain] = model.Name
 		}
 	}
 	return false
 }
 
-// formationOf returns the group of a model that starts soonest without a load.
-func (s *situation) formationOf(model serving.Model, free freeByDomain) (formation, bool) {
+// warmFormation returns the group of a model that starts soonest without a load.
+func (s *situation) warmFormation(model serving.Model, free freeByDomain) (formation, bool) {
 	var best formation
 	bestStart := model.LoadTime
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
@@ -154,28 +154,28 @@
 		if len(usable) < model.Size || kept != "" && kept != model.Name {
 			continue
 		}
-		members, start := choose(usable, model)
+		members, start := chooseMembers(usable, model)
 		f := formation{s.service, model, members}
-		if start < bestStart && s.pays(f) {
+		if start < bestStart && s.isWorthwhile(f) {
 			best, bestStart = f, start
 		}
 	}
 	return best, best.members != nil
 }
 
-// withLoads returns the groups to be formed before anything is served, when
+// initialFormations returns the groups to be formed before anything is served, when
 // loads take a tenth of their time. Later what a group lacks is staged instead:
 // members that wait for a load are no help to others.
-func (s *situation) withLoads(free freeByDomain) []formation {
+func (s *situation) initialFormations(free freeByDomain) []formation {
 	var out []formation
 	for {
-		f, ok := s.best(free)
+		f, ok := s.bestInitial(free)
 		if !ok {
 			return out
 		}
 		out = append(out, f)
 		s.count(f.members[0].Domain, f.model.Name, float64(len(f.members)))
-		free.use(f.members)
+		free.remove(f.members)
 	}
 }
 
@@ -196,37 +196,37 @@
 				}
 			}
 		}
-		for len(warm) >= model.Size && s.lacks(model) {
+		for len(warm) >= model.Size && s.staysNeediest(model) {
 			members := slices.Clone(warm[:model.Size])
 			warm = warm[model.Size:]
 			out = append(out, formation{s.service, model, members})
-			free.use(members)
+			free.remove(members)
 			s.count(members[0].Domain, model.Name, float64(model.Size)/max(1, s.engine.FarFactor))
 		}
 	}
 	return out
 }
 
-// lacks reports whether a model is needier than all others even with one more
+// staysNeediest reports whether a model is needier than all others even with one more
 // group across domains. Else its members are worth more as spares.
-func (s *situation) lacks(model serving.Model) bool {
-	with := s.needWith(model, float64(model.Size)/max(1, s.engine.FarFactor))
+func (s *situation) staysNeediest(model serving.Model) bool {
+	extended := s.coverageWith(model, float64(model.Size)/max(1, s.engine.FarFactor))
 	for _, other := range s.engine.Models {
-		if other.Name != model.Name && s.need(other) < with {
+		if other.Name != model.Name && s.coverage(other) < extended {
 			return false
 		}
 	}
 	return true
 }
 
-// best returns the next group to form before anything is served: the one that
+// bestInitial returns the next group to form before anything is served: the one that
 // starts soonest among those that each domain is needed for most.
-func (s *situation) best(free freeByDomain) (formation, bool) {
+func (s *situation) bestInitial(free freeByDomain) (formation, bool) {
 	var best formation
 	var bestStart time.Duration
 	found := false
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
-		f, start, ok := s.bestOf(domain, free[domain])
+		f, start, ok := s.bestInDomain(domain, free[domain])
 		if ok && (!found || start < bestStart) {
 			best, bestStart, found = f, start, true
 		}
@@ -234,22 +234,22 @@
 	return best, found
 }
 
-// bestOf returns the group that a domain is needed for most, if possible one
+// bestInDomain returns the group that a domain is needed for most, if possible one
 // that needs no load.
-func (s *situation) bestOf(domain string, free []*serving.Endpoint) (formation, time.Duration, bool) {
+func (s *situation) bestInDomain(domain string, free []*serving.Endpoint) (formation, time.Duration, bool) {
 	models := s.byNeed()
 	for _, model := range models {
 		usable := s.freeFor(model, domain, free)
 		if len(usable) < model.Size {
 			continue
 		}
-		if members, start := choose(usable, model); start < model.LoadTime {
+		if members, start := chooseMembers(usable, model); start < model.LoadTime {
 			return formation{s.service, model, members}, start, true
 		}
 	}
 	for _, model := range models {
 		if usable := s.freeFor(model, domain, free); len(usable) >= model.Size {
-			members, start := choose(usable, model)
+			members, start := chooseMembers(usable, model)
 			return formation{s.service, model, members}, start, true
 		}
 		if s.growing[domain] {
@@ -259,23 +259,23 @@
 	return formation{}, 0, false
 }
 
-// need is how much of its part of the work a model can do: the endpoints of
+// coverage is how much of its part of the work a model can do: the endpoints of
 // its groups, for each unit of its fraction. The lowest is the neediest.
-func (s *situation) need(m serving.Model) float64 { return s.needWith(m, 0) }
+func (s *situation) coverage(m serving.Model) float64 { return s.coverageWith(m, 0) }
 
-// needWith is the need with some endpoints more.
-func (s *situation) needWith(m serving.Model, more float64) float64 {
-	for _, models := range s.working {
-		more += models[m.Name]
+// coverageWith is the need with some endpoints more.
+func (s *situation) coverageWith(m serving.Model, extra float64) float64 {
+	for _, models := range s.inUse {
+		extra += models[m.Name]
 	}
-	return more / max(s.shareOf(m), 0.01)
+	return extra / max(s.shareOf(m), 0.01)
 }
 
 // byNeed sorts the models, the neediest first.
 func (s *situation) byNeed() []serving.Model {
 	models := slices.Clone(s.engine.Models)
 	slices.SortStableFunc(models, func(a, b serving.Model) int {
-		return cmp.Or(cmp.Compare(s.need(a), s.need(b)), cmp.Compare(s.shareOf(b), s.shareOf(a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(s.coverage(a), s.coverage(b)), cmp.Compare(s.shareOf(b), s.shareOf(a)), cmp.Compare(a.Name, b.Name))
 	})
 	return models
 }
@@ -283,8 +283,8 @@
 // rejoinTime is how long a member takes that had the model last.
 const rejoinTime = 200 * time.Millisecond
 
-// startTime is how long an endpoint takes to be a ready member.
-func startTime(e *serving.Endpoint, m serving.Model) time.Duration {
+// startDuration is how long an endpoint takes to be a ready member.
+func startDuration(e *serving.Endpoint, m serving.Model) time.Duration {
 	switch {
 	case e.Model == m.Name:
 		return rejoinTime
@@ -295,7 +295,7 @@
 }
 
 // isWarm reports whether an endpoint can be a member without a load.
-func isWarm(e *serving.Endpoint, m serving.Model) bool { return startTime(e, m) < m.LoadTime }
+func isWarm(e *serving.Endpoint, m serving.Model) bool { return startDuration(e, m) < m.LoadTime }
 
 // versatility ranks an endpoint by what it could start beside a model: nothing,
 // what its host holds, or the model of its last group.
@@ -309,18 +309,18 @@
 	return 0
 }
 
-// choose picks the members that start soonest, in an order that is the same
+// chooseMembers picks the members that start soonest, in an order that is the same
 // for every controller.
-func choose(free []*serving.Endpoint, m serving.Model) ([]*serving.Endpoint, time.Duration) {
+func chooseMembers(free []*serving.Endpoint, m serving.Model) ([]*serving.Endpoint, time.Duration) {
 	sorted := slices.Clone(free)
 	slices.SortFunc(sorted, func(a, b *serving.Endpoint) int {
 		return cmp.Or(
-			cmp.Compare(startTime(a, m), startTime(b, m)),
+			cmp.Compare(startDuration(a, m), startDuration(b, m)),
 			// Who could soon serve another model is left for that.
 			cmp.Compare(versatility(a, m), versatility(b, m)),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
 	members := sorted[:m.Size]
-	return members, startTime(members[m.Size-1], m)
+	return members, startDuration(members[m.Size-1], m)
 }
--- a/internal/groupcontrol/plan_bench_test.go
+++ b/internal/groupcontrol/plan_bench_test.go
@@ -8,8 +8,8 @@
 // machine of the figures in docs/CAPACITY.md: 0.14 to 0.17 ms and 6 KB, ten times a second.
 func BenchmarkPlan(b *testing.B) {
 	for _, bench := range []struct {
-		name string
-		lost rack
+		name  string
+		after rack
 	}{
 		{"at rest", rack{large: 2, small: 9, free: 5}},
 		{"after a loss", rack{large: 1, small: 9, free: 17}},
@@ -17,8 +17,8 @@
 		b.Run(bench.name, func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				whole := rack{large: 2, small: 9, free: 5}
-				s := newSituation(whole, whole, bench.lost)
+				full := rack{large: 2, small: 9, free: 5}
+				s := newSituation(full, full, bench.after)
 				b.StartTimer()
 				plan(s)
 			}
--- a/internal/groupcontrol/plan_test.go
+++ b/internal/groupcontrol/plan_test.go
@@ -18,7 +18,7 @@
 
 // rack describes a domain of endpoints that can all start both models.
 type rack struct {
-	large, small, free, freeSmall, spare, soon int
+	large, small, free, freeSmall, spare, soonFree int
 }
 
 // newSituation builds a data centre of racks.
@@ -26,7 +26,7 @@
 	s := situation{
 		service: "llm",
 		engine:  &serving.Engine{Models: []serving.Model{large, small}, FarFactor: 2.5},
-		working: map[string]map[string]float64{},
+		inUse:   map[string]map[string]float64{},
 		staging: map[serving.EndpointID]string{},
 		growing: map[string]bool{},
 		open:    true,
@@ -48,7 +48,7 @@
 			for g := range groups {
 				members := endpoints(model.Size, model, other)
 				members[0].Membership.State = serving.MemberOpen
-				s.stands(&group{key: fmt.Sprintf("%s-%s-%d", domain, model.Name, g), head: members[0], members: members, model: model, age: time.Minute})
+				s.addHealthy(&group{key: fmt.Sprintf("%s-%s-%d", domain, model.Name, g), head: members[0], members: members, model: model, age: time.Minute})
 			}
 		}
 		add(r.large, large, small)
@@ -56,14 +56,14 @@
 		s.free = append(s.free, endpoints(r.free, large, small)...)
 		s.free = append(s.free, endpoints(r.freeSmall, small, large)...)
 		s.free = append(s.free, endpoints(r.spare, serving.Model{}, small)...)
-		s.soon = endpoints(r.soon, large, small)
+		s.soonFree = endpoints(r.soonFree, large, small)
 	}
 	return s
 }
 
-// elsewhere adds the endpoints that serve the models in other data centres.
-func elsewhere(s situation, largeEndpoints, smallEndpoints float64) situation {
-	s.elsewhere = map[string]float64{large.Name: largeEndpoints, small.Name: smallEndpoints}
+// withRemote adds the endpoints that serve the models in other data centres.
+func withRemote(s situation, largeEndpoints, smallEndpoints float64) situation {
+	s.remote = map[string]float64{large.Name: largeEndpoints, small.Name: smallEndpoints}
 	return s
 }
 
@@ -77,9 +77,9 @@
 		{"all is well", newSituation(rack{large: 1, small: 5, free: 1}, rack{large: 1, small: 5, free: 1}), nil, nil},
 		{"a spare completes the group", newSituation(rack{small: 5, free: 16}, rack{large: 1, small: 5}), []string{"large in rack-0"}, nil},
 		{"one small group gives its members up", newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), nil, []string{"large in rack-0 of 1"}},
-		{"nothing is ended for a group whose members are on their way", newSituation(rack{small: 5, free: 2, soon: 14}), nil, nil},
+		{"nothing is ended for a group whose members are on their way", newSituation(rack{small: 5, free: 2, soonFree: 14}), nil, nil},
 		{"members stay with the model that they can start at once", newSituation(rack{large: 1, small: 3}, rack{free: 16, freeSmall: 3, spare: 1}), []string{"small in rack-1", "large in rack-1"}, nil},
-		{"a model that others serve is no reason to end groups", elsewhere(newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), 160, 160), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
+		{"a model that others serve is no reason to end groups", withRemote(newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), 160, 160), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
 		{"a rack that is too small forms what it can", newSituation(rack{free: 9}), []string{"small in rack-0", "small in rack-0"}, nil},
 		{"the last groups of a model are not ended for the other", newSituation(rack{small: 1, free: 12}, rack{large: 1}), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
 	} {
@@ -115,28 +115,28 @@
 			}
 			steps++
 			require.Less(t, steps, 20)
-			s = carryOut(s, d)
+			s = applyPlan(s, d)
 		}
 	}
 }
 
-// carryOut returns the situation after a plan.
-func carryOut(s situation, d decision) situation {
+// applyPlan returns the situation after a plan.
+func applyPlan(s situation, d decision) situation {
 	for _, t := range d.takeovers {
 		for _, g := range t.groups {
 			s.free = append(slices.Clone(s.free), g.members...)
 			s.groups = slices.DeleteFunc(slices.Clone(s.groups), func(other *group) bool { return other == g })
 		}
 	}
-	out := situation{service: s.service, engine: s.engine, working: map[string]map[string]float64{}, staging: s.staging, growing: s.growing, open: true, weights: s.weights, reserved: map[string]string{}}
+	out := situation{service: s.service, engine: s.engine, inUse: map[string]map[string]float64{}, staging: s.staging, growing: s.growing, open: true, weights: s.weights, reserved: map[string]string{}}
 	for _, g := range s.groups {
-		out.stands(g)
+		out.addHealthy(g)
 	}
 	var used []*serving.Endpoint
 	for i, f := range d.formations {
 		used = append(used, f.members...)
 		f.members[0].Membership.State = serving.MemberOpen
-		out.stands(&group{key: fmt.Sprintf("%s-%d-%d", f.model.Name, len(out.groups), i), head: f.members[0], members: f.members, model: f.model, age: time.Minute})
+		out.addHealthy(&group{key: fmt.Sprintf("%s-%d-%d", f.model.Name, len(out.groups), i), head: f.members[0], members: f.members, model: f.model, age: time.Minute})
 	}
 	for _, e := range s.free {
 		if !slices.Contains(used, e) {
@@ -151,20 +151,20 @@
 	s.groups = slices.DeleteFunc(slices.Clone(s.groups), func(other *group) bool { return other == g })
 	s.free = append(slices.Clone(s.free), g.members...)
 	for _, e := range g.members {
-		s.working[e.Domain][g.model.Name] -= s.worth(g)
+		s.inUse[e.Domain][g.model.Name] -= s.memberWeight(g)
 	}
 	return s
 }
 
-// limitedTo has the heads of a model's groups limit what they take, in requests a second, each
+// withLimit has the heads of a model's groups limit what they take, in requests a second, each
 // of which keeps a group busy for a tenth of a second.
-func limitedTo(s situation, model serving.Model, perSecond float64) situation {
+func withLimit(s situation, model serving.Model, perSecond float64) situation {
 	s.meanWork = map[string]float64{model.Name: 0.1}
 	s.limit = func(*serving.Endpoint) float64 { return perSecond }
 	groups := s.groups
-	s.groups, s.working = nil, map[string]map[string]float64{}
+	s.groups, s.inUse = nil, map[string]map[string]float64{}
 	for _, g := range groups {
-		s.stands(g)
+		s.addHealthy(g)
 	}
 	return s
 }
@@ -184,7 +184,7 @@
 		{"a limit of a tenth of it", 1, 0.8, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := limitedTo(demanded(newSituation(racks...), 2, 8), small, test.perSecond)
+			s := withLimit(withDemand(newSituation(racks...), 2, 8), small, test.perSecond)
 			require.InDelta(t, test.small, s.groupsOf(small), 0.001)
 			d := plan(s)
 			require.Len(t, d.formations, test.formations)
--- a/internal/groupcontrol/situation.go
+++ b/internal/groupcontrol/situation.go
@@ -14,19 +14,19 @@
 	s := situation{
 		service: service.Name,
 		engine:  service.Engine,
-		working: map[string]map[string]float64{},
+		inUse:   map[string]map[string]float64{},
 
-		elsewhere: map[string]float64{},
-		growing:   map[string]bool{},
-		demand:    map[string]float64{},
-		inTime:    map[string]float64{},
-		meanWork:  map[string]float64{},
-		limit:     c.options.Limit,
+		remote:   map[string]float64{},
+		growing:  map[string]bool{},
+		demand:   map[string]float64{},
+		inTime:   map[string]float64{},
+		meanWork: map[string]float64{},
+		limit:    c.options.Limit,
 
 		weights:     c.options.Weights,
-		settling:    now.Sub(c.takenOver) < takeoverPause,
+		inCooldown:  now.Sub(c.lastTakeover) < takeoverCooldown,
 		dataCentres: c.options.DataCentres,
-		staging:     c.stagingNow(view, now),
+		staging:     c.activeStagings(view, now),
 	}
 	// Only what is started for the first time waits for loads.
 	s.open = !c.options.Unpaced()
@@ -38,7 +38,7 @@
 		if demand.Requests > 0 {
 			s.meanWork[pool.Model] = demand.Groups / demand.Requests
 		}
-		if demand.Measured >= leastJudged {
+		if demand.Measured >= minMeasured {
 			s.inTime[pool.Model] = demand.InTime
 		}
 	}
@@ -49,11 +49,11 @@
 		}
 		if e.DataCentre != c.options.DataCentre {
 			if e.Membership.Group != "" {
-				s.elsewhere[e.Model]++
+				s.remote[e.Model]++
 			}
 			continue
 		}
-		if timeSince(c.firstSeen, e.ID, now) < growingFor {
+		if trackSince(c.firstSeen, e.ID, now) < growthWindow {
 			s.growing[e.Domain] = true
 		}
 		if e.Membership.State == serving.MemberOpen {
@@ -67,23 +67,23 @@
 	}
 	c.addLapsed(view, groups, service, now)
 	for _, key := range slices.Sorted(maps.Keys(groups)) {
-		c.lookAtGroup(ctx, &s, groups[key], now)
+		c.checkGroup(ctx, &s, groups[key], now)
 	}
-	c.countOperations(&s, view)
-	s.reserved = c.reservedNow(now)
+	c.countForming(&s, view)
+	s.reserved = c.activeReservations(now)
 	d := plan(s)
 	c.logPlan(&s, d)
 	for _, f := range d.formations {
-		delete(c.reserved, f.members[0].Domain)
-		c.startForm(ctx, f, service.Engine, now)
+		delete(c.reservations, f.members[0].Domain)
+		c.startFormation(ctx, f, service.Engine, now)
 	}
 	for _, t := range d.takeovers {
 		c.startTakeover(ctx, t, now)
 	}
 	c.startStagings(ctx, &s, d.stagings, now)
-	for _, r := range d.rehearsals {
+	for _, r := range d.warmUps {
 		if s.staging[r.endpoint.ID] == "" {
-			c.startRehearsal(ctx, r)
+			c.startWarmUp(ctx, r)
 		}
 	}
 }
@@ -94,16 +94,16 @@
 	until time.Time
 }
 
-// reservedFor is how long the members of groups that were ended for another may
+// reservationTTL is how long the members of groups that were ended for another may
 // take to leave.
-const reservedFor = 1500 * time.Millisecond
+const reservationTTL = 1500 * time.Millisecond
 
-// reservedNow returns the model that each domain's free endpoints are kept for.
-func (c *Controller) reservedNow(now time.Time) map[string]string {
+// activeReservations returns the model that each domain's free endpoints are kept for.
+func (c *Controller) activeReservations(now time.Time) map[string]string {
 	out := map[string]string{}
-	for domain, r := range c.reserved {
+	for domain, r := range c.reservations {
 		if now.After(r.until) {
-			delete(c.reserved, domain)
+			delete(c.reservations, domain)
 			continue
 		}
 		out[domain] = r.model
@@ -111,20 +111,20 @@
 	return out
 }
 
-// growingFor is how long after a new endpoint its domain may have more soon.
-const growingFor = 1500 * time.Millisecond
+// growthWindow is how long after a new endpoint its domain may have more soon.
+const growthWindow = 1500 * time.Millisecond
 
-// takenFor is how long an endpoint is left alone that is in a group although
+// otherGroupTTL is how long an endpoint is left alone that is in a group although
 // its row says otherwise: rows lag less.
-const takenFor = time.Second
+const otherGroupTTL = time.Second
 
 // addFree adds an endpoint that may be used for new groups.
 func (c *Controller) addFree(s *situation, e *serving.Endpoint, now time.Time) {
-	if e.Draining || c.isDead(e, now) || now.Sub(c.taken[e.ID]) < takenFor {
+	if e.Draining || c.isDead(e, now) || now.Sub(c.inOtherGroup[e.ID]) < otherGroupTTL {
 		return
 	}
-	if op := c.busy[e.ID]; op != nil && op.what == busyDissolving {
-		s.soon = append(s.soon, e)
+	if op := c.busy[e.ID]; op != nil && op.purpose == purposeDissolve {
+		s.soonFree = append(s.soonFree, e)
 		return
 	}
 	if c.isBusy(e.ID) {
@@ -133,12 +133,12 @@
 	s.free = append(s.free, e)
 }
 
-// countOperations counts the groups that are being formed.
-func (c *Controller) countOperations(s *situation, view *directory.View) {
+// countForming counts the groups that are being formed.
+func (c *Controller) countForming(s *situation, view *directory.View) {
 	for id, op := range c.busy {
 		e := view.Endpoints[id]
-		if _, ok := s.engine.Model(op.what); ok && e != nil {
-			s.count(e.Domain, op.what, 1)
+		if _, ok := s.engine.Model(op.purpose); ok && e != nil {
+			s.count(e.Domain, op.purpose, 1)
 		}
 	}
 }
@@ -150,13 +150,13 @@
 	until time.Time
 }
 
-// stagingNow returns the models that are on their way to hosts.
-func (c *Controller) stagingNow(view *directory.View, now time.Time) map[serving.EndpointID]string {
+// activeStagings returns the models that are on their way to hosts.
+func (c *Controller) activeStagings(view *directory.View, now time.Time) map[serving.EndpointID]string {
 	out := map[serving.EndpointID]string{}
-	for id, order := range c.staged {
+	for id, order := range c.stagingOrders {
 		e := view.Endpoints[id]
 		if e == nil || !now.Before(order.until) || slices.Contains(e.Staged, order.model) {
-			delete(c.staged, id)
+			delete(c.stagingOrders, id)
 			continue
 		}
 		out[id] = order.model
@@ -172,7 +172,7 @@
 	}
 	for _, m := range s.engine.Models {
 		c.log.Info("has planned", "service", s.service, "model", m.Name, "formations", len(d.formations), "takeovers", len(d.takeovers),
-			"demand", s.demandOf(m), "share", s.shareOf(m), "here", s.groupsOf(m), "elsewhere", s.elsewhere[m.Name]/float64(m.Size),
+			"demand", s.demandOf(m), "share", s.shareOf(m), "here", s.groupsOf(m), "elsewhere", s.remote[m.Name]/float64(m.Size),
 			"gain_of_one_more", s.gainOf(map[string]float64{m.Name: float64(m.Size)}))
 	}
 }
--- a/internal/groupcontrol/spares.go
+++ b/internal/groupcontrol/spares.go
@@ -18,13 +18,13 @@
 	return slices.MaxFunc(s.engine.Models, func(a, b serving.Model) int { return cmp.Compare(a.Size, b.Size) })
 }
 
-// sizeOf counts the endpoints of a domain, with those that are free.
-func (s *situation) sizeOf(domain string, free []*serving.Endpoint) float64 {
+// domainSize counts the endpoints of a domain, with those that are free.
+func (s *situation) domainSize(domain string, free []*serving.Endpoint) float64 {
 	n := float64(len(free))
-	for _, endpoints := range s.working[domain] {
+	for _, endpoints := range s.inUse[domain] {
 		n += endpoints
 	}
-	for _, e := range s.soon {
+	for _, e := range s.soonFree {
 		if e.Domain == domain {
 			n++
 		}
@@ -36,7 +36,7 @@
 // those that hold it, then those that hold nothing.
 func (s *situation) spares(domain string, free []*serving.Endpoint) []*serving.Endpoint {
 	largest := s.largest()
-	size := s.sizeOf(domain, free)
+	size := s.domainSize(domain, free)
 	n := min(len(free), int(s.weights.SpareFraction*size))
 	if n == 0 || size < float64(largest.Size) {
 		return nil
@@ -45,7 +45,7 @@
 		switch {
 		case isWarm(e, largest) || s.staging[e.ID] == largest.Name:
 			return 0
-		case s.holds(e) == "":
+		case s.availableModel(e) == "":
 			return 1
 		}
 		return 2
@@ -59,12 +59,12 @@
 
 // freeFor returns the free endpoints of a domain that a group of a model may use.
 func (s *situation) freeFor(model serving.Model, domain string, free []*serving.Endpoint) []*serving.Endpoint {
-	return s.notKept(model, free, s.spares(domain, free))
+	return s.availableFor(model, free, s.spares(domain, free))
 }
 
-// notKept returns the free endpoints that a group of a model may use beside those kept
+// availableFor returns the free endpoints that a group of a model may use beside those kept
 // for the largest model, which may use all.
-func (s *situation) notKept(model serving.Model, free, kept []*serving.Endpoint) []*serving.Endpoint {
+func (s *situation) availableFor(model serving.Model, free, kept []*serving.Endpoint) []*serving.Endpoint {
 	if model.Name == s.largest().Name {
 		return free
 	}
@@ -80,13 +80,13 @@
 	return rest
 }
 
-// stageKept has the spares that are kept hold the largest model.
-func (s *situation) stageKept(kept []*serving.Endpoint) []staging {
+// stageLargest has the spares that are kept hold the largest model.
+func (s *situation) stageLargest(kept []*serving.Endpoint) []staging {
 	largest := s.largest()
 	var out []staging
 	for _, e := range kept {
 		if !isWarm(e, largest) && s.staging[e.ID] == "" {
-			out = append(out, staging{e, largest, spareLacking})
+			out = append(out, staging{e, largest, sparePriority})
 		}
 	}
 	return out
--- a/internal/groupcontrol/spares_test.go
+++ b/internal/groupcontrol/spares_test.go
@@ -9,8 +9,8 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// empty returns a domain of endpoints that hold nothing yet.
-func empty(n int) []*serving.Endpoint {
+// emptyEndpoints returns a domain of endpoints that hold nothing yet.
+func emptyEndpoints(n int) []*serving.Endpoint {
 	var out []*serving.Endpoint
 	for i := range n {
 		out = append(out, &serving.Endpoint{ID: serving.EndpointID(fmt.Sprintf("e%02d", i)), Domain: "rack"})
@@ -35,7 +35,7 @@
 			s := newSituation()
 			s.open = false
 			s.engine.Models[0].Size, s.engine.Models[1].Size = test.largeSize, test.smallSize
-			s.free = empty(test.endpoints)
+			s.free = emptyEndpoints(test.endpoints)
 			formed := map[string]int{}
 			for _, f := range plan(s).formations {
 				formed[f.model.Name]++
@@ -51,7 +51,7 @@
 func TestSparesHoldTheLargestModel(t *testing.T) {
 	s := newSituation(rack{large: 1, small: 4})
 	s.engine.Models[0].Size = 16
-	s.free = append(s.free, empty(6)...)
+	s.free = append(s.free, emptyEndpoints(6)...)
 	for _, e := range s.free {
 		e.Domain = "rack-0"
 	}
--- a/internal/groupcontrol/staging.go
+++ b/internal/groupcontrol/staging.go
@@ -14,28 +14,28 @@
 	model    serving.Model
 	// lacking is how many endpoints its group lacks with this one; loads are
 	// few, and those go first that complete a group soonest.
-	lacking int
+	priority int
 }
 
-// spareLacking is the lacking of a spare, which completes no group, and
-// otherLacking that of an endpoint that is to be able to start another model.
+// sparePriority is the lacking of a spare, which completes no group, and
+// secondModelPriority that of an endpoint that is to be able to start another model.
 const (
-	spareLacking = 1000
-	otherLacking = 2000
+	sparePriority       = 1000
+	secondModelPriority = 2000
 )
 
-// rehearsal has a free endpoint join a group of its own, which is never opened,
+// warmUp has a free endpoint join a group of its own, which is never opened,
 // so that it starts its model at once when a group lacks a member.
-type rehearsal struct {
+type warmUp struct {
 	endpoint *serving.Endpoint
 	model    serving.Model
 }
 
-// rehearse chooses the free endpoints that hold a model and have not been in a
+// chooseWarmUps chooses the free endpoints that hold a model and have not been in a
 // group of it. Else a spare takes its warm time, 1.1 to 1.6 s, while the
 // rest of its group waited.
-func (s *situation) rehearse(free freeByDomain) []rehearsal {
-	var out []rehearsal
+func (s *situation) chooseWarmUps(free freeByDomain) []warmUp {
+	var out []warmUp
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
 		if s.reserved[domain] != "" {
 			continue
@@ -44,17 +44,17 @@
 			if e.Model != "" || s.staging[e.ID] != "" {
 				continue
 			}
-			if model, ok := s.heldModel(e); ok {
-				out = append(out, rehearsal{e, model})
+			if model, ok := s.largestStagedModel(e); ok {
+				out = append(out, warmUp{e, model})
 			}
 		}
 	}
 	return out
 }
 
-// heldModel returns the model on an endpoint's host, that of the largest groups
+// largestStagedModel returns the model on an endpoint's host, that of the largest groups
 // if there are several.
-func (s *situation) heldModel(e *serving.Endpoint) (serving.Model, bool) {
+func (s *situation) largestStagedModel(e *serving.Endpoint) (serving.Model, bool) {
 	var held serving.Model
 	for _, m := range s.engine.Models {
 		if slices.Contains(e.Staged, m.Name) && m.Size > held.Size {
@@ -64,9 +64,9 @@
 	return held, held.Size > 0
 }
 
-// holds returns the model that an endpoint can start without a load, or that
+// availableModel returns the model that an endpoint can start without a load, or that
 // is on its way to its host; empty if there is none.
-func (s *situation) holds(e *serving.Endpoint) string {
+func (s *situation) availableModel(e *serving.Endpoint) string {
 	for _, m := range s.engine.Models {
 		if isWarm(e, m) {
 			return m.Name
@@ -86,23 +86,25 @@
 		out = append(out, s.stageDomain(domain, spare)...)
 	}
 	if s.weights.SecondModels {
-		out = append(out, s.stageOthers(free)...)
+		out = append(out, s.stageSecondModels(free)...)
 	}
-	slices.SortStableFunc(out, func(a, b staging) int { return cmp.Compare(a.lacking, b.lacking) })
+	slices.SortStableFunc(out, func(a, b staging) int { return cmp.Compare(a.priority, b.priority) })
 	return out
 }
 
 func (s *situation) stageDomain(domain string, free []*serving.Endpoint) []staging {
 	kept := s.spares(domain, free)
-	out := s.stageKept(kept)
-	for _, model := range s.byPromise(free) {
-		have, rest := partition(s.notKept(model, free, kept), func(e *serving.Endpoint) bool { return s.holds(e) == model.Name })
+	out := s.stageLargest(kept)
+	for _, model := range s.byGain(free) {
+		have, rest := partition(s.availableFor(model, free, kept), func(e *serving.Endpoint) bool { return s.availableModel(e) == model.Name })
 		missing := model.Size - len(have)
 		if missing <= 0 || missing > len(rest) {
 			continue
 		}
 		// Hosts that hold nothing go first.
-		slices.SortStableFunc(rest, func(a, b *serving.Endpoint) int { return cmp.Compare(len(s.holds(a)), len(s.holds(b))) })
+		slices.SortStableFunc(rest, func(a, b *serving.Endpoint) int {
+			return cmp.Compare(len(s.availableModel(a)), len(s.availableModel(b)))
+		})
 		for _, e := range rest[:missing] {
 			out = append(out, staging{e, model, missing})
 		}
@@ -111,16 +113,16 @@
 	return append(out, s.stageSpares(domain, without(free, kept))...)
 }
 
-// byPromise sorts the models by what a group of each is worth for each endpoint
+// byGain sorts the models by what a group of each is worth for each endpoint
 // that it lacks in a domain.
-func (s *situation) byPromise(free []*serving.Endpoint) []serving.Model {
-	promise := map[string]float64{}
+func (s *situation) byGain(free []*serving.Endpoint) []serving.Model {
+	gain := map[string]float64{}
 	for _, m := range s.engine.Models {
-		have, _ := partition(free, func(e *serving.Endpoint) bool { return s.holds(e) == m.Name })
-		promise[m.Name] = s.gainOf(map[string]float64{m.Name: float64(m.Size)}) / float64(max(1, m.Size-len(have)))
+		have, _ := partition(free, func(e *serving.Endpoint) bool { return s.availableModel(e) == m.Name })
+		gain[m.Name] = s.gainOf(map[string]float64{m.Name: float64(m.Size)}) / float64(max(1, m.Size-len(have)))
 	}
 	models := s.byNeed()
-	slices.SortStableFunc(models, func(a, b serving.Model) int { return cmp.Compare(promise[b.Name], promise[a.Name]) })
+	slices.SortStableFunc(models, func(a, b serving.Model) int { return cmp.Compare(gain[b.Name], gain[a.Name]) })
 	return models
 }
 
@@ -129,46 +131,46 @@
 func (s *situation) stageSpares(domain string, free []*serving.Endpoint) []staging {
 	held := map[string]int{}
 	for _, e := range free {
-		held[s.holds(e)]++
+		held[s.availableModel(e)]++
 	}
 	models := slices.Clone(s.engine.Models)
-	if serves := s.working[domain]; len(serves) > 0 {
-		models = slices.DeleteFunc(models, func(m serving.Model) bool { return serves[m.Name] == 0 })
+	if activeModels := s.inUse[domain]; len(activeModels) > 0 {
+		models = slices.DeleteFunc(models, func(m serving.Model) bool { return activeModels[m.Name] == 0 })
 	}
 	slices.SortStableFunc(models, func(a, b serving.Model) int {
 		return cmp.Or(cmp.Compare(b.Size, a.Size), cmp.Compare(a.Name, b.Name))
 	})
 	var out []staging
 	for _, e := range free {
-		if s.holds(e) != "" || len(models) == 0 {
+		if s.availableModel(e) != "" || len(models) == 0 {
 			continue
 		}
 		model := slices.MinFunc(models, func(a, b serving.Model) int { return cmp.Compare(held[a.Name], held[b.Name]) })
 		held[model.Name]++
-		out = append(out, staging{e, model, spareLacking})
+		out = append(out, staging{e, model, sparePriority})
 	}
 	return out
 }
 
-// stageOthers has endpoints that were in a group hold another model than their
+// stageSecondModels has endpoints that were in a group hold another model than their
 // own on their hosts. A member starts the model of its last group at once, whatever its
 // host holds; so it can go over to a group of either model without a load.
 // Else a group of sixteen that lost two members while its domain has one spare
 // stays away for half a minute.
-func (s *situation) stageOthers(free freeByDomain) []staging {
+func (s *situation) stageSecondModels(free freeByDomain) []staging {
 	var out []staging
-	offer := func(endpoints []*serving.Endpoint) {
+	add := func(endpoints []*serving.Endpoint) {
 		for _, e := range endpoints {
-			if model, ok := s.other(e); ok {
-				out = append(out, staging{e, model, otherLacking})
+			if model, ok := s.secondModel(e); ok {
+				out = append(out, staging{e, model, secondModelPriority})
 			}
 		}
 	}
 	for _, g := range s.groups {
-		offer(g.members)
+		add(g.members)
 	}
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
-		offer(free[domain])
+		add(free[domain])
 	}
 	slices.SortStableFunc(out, func(a, b staging) int {
 		return cmp.Or(cmp.Compare(b.model.Size, a.model.Size), cmp.Compare(a.endpoint.ID, b.endpoint.ID))
@@ -176,9 +178,9 @@
 	return out
 }
 
-// other returns the neediest model that a member's host should hold, if it does
+// secondModel returns the neediest model that a member's host should hold, if it does
 // not hold one yet beside the member's own.
-func (s *situation) other(e *serving.Endpoint) (serving.Model, bool) {
+func (s *situation) secondModel(e *serving.Endpoint) (serving.Model, bool) {
 	if e.Model == "" || e.Draining || s.staging[e.ID] != "" {
 		return serving.Model{}, false
 	}
--- a/internal/groupcontrol/takeover.go
+++ b/internal/groupcontrol/takeover.go
@@ -17,8 +17,8 @@
 	groups []*group
 }
 
-// crosses reports whether groups of another model are ended.
-func (t takeover) crosses() bool {
+// changesModel reports whether groups of another model are ended.
+func (t takeover) changesModel() bool {
 	return slices.ContainsFunc(t.groups, func(g *group) bool { return g.model.Name != t.model.Name })
 }
 
@@ -27,8 +27,8 @@
 
 const (
 	takeoverNone takeoverOutcome = iota
-	// takeoverWaits: the model can be formed once other operations have ended.
-	takeoverWaits
+	// takeoverPending: the model can be formed once other operations have ended.
+	takeoverPending
 	takeoverFound
 )
 
@@ -37,17 +37,17 @@
 	if slices.Contains(slices.Collect(maps.Values(s.reserved)), model.Name) {
 		return takeover{}, takeoverNone
 	}
-	for _, domain := range slices.Sorted(maps.Keys(s.usable(free))) {
+	for _, domain := range slices.Sorted(maps.Keys(s.candidateDomains(free))) {
 		if s.reserved[domain] != "" {
 			continue
 		}
 		groups, ok := s.victims(model, domain, free[domain])
 		switch {
 		case !ok:
-		case s.warmOf(model, domain, free[domain]) >= model.Size:
+		case s.countWarm(model, domain, free[domain]) >= model.Size:
 			// It could be formed now, and is not worth it.
 		case len(groups) == 0:
-			return takeover{model, domain, nil}, takeoverWaits
+			return takeover{model, domain, nil}, takeoverPending
 		case s.improves(model, groups) && (outcome == takeoverNone || len(groups) < len(best.groups)):
 			best, outcome = takeover{model, domain, groups}, takeoverFound
 		}
@@ -60,14 +60,14 @@
 	s.groups = slices.DeleteFunc(slices.Clone(s.groups), func(g *group) bool { return slices.Contains(groups, g) })
 	for _, g := range groups {
 		for _, e := range g.members {
-			s.count(e.Domain, g.model.Name, -s.worth(g))
+			s.count(e.Domain, g.model.Name, -s.memberWeight(g))
 		}
-		s.soon = append(s.soon, g.members...)
+		s.soonFree = append(s.soonFree, g.members...)
 	}
 }
 
-// usable returns the domains that have free endpoints or groups.
-func (s *situation) usable(free freeByDomain) map[string]bool {
+// candidateDomains returns the domains that have free endpoints or groups.
+func (s *situation) candidateDomains(free freeByDomain) map[string]bool {
 	out := map[string]bool{}
 	for domain := range free {
 		out[domain] = true
@@ -84,41 +84,41 @@
 // group without a load, which may be none: those across domains first, which
 // are slow, then those that bring the most.
 func (s *situation) victims(model serving.Model, domain string, free []*serving.Endpoint) ([]*group, bool) {
-	have := s.warmOf(model, domain, free) + s.warmOf(model, domain, s.soon)
-	type offer struct {
-		group  *group
-		brings int
+	have := s.countWarm(model, domain, free) + s.countWarm(model, domain, s.soonFree)
+	type candidate struct {
+		group *group
+		warm  int
 	}
-	var offers []offer
+	var candidates []candidate
 	for _, g := range s.groups {
-		if !g.far() && g.model.Name == model.Name || g.age < takeoverAge {
+		if !g.spansDomains() && g.model.Name == model.Name || g.age < minTakeoverAge {
 			continue
 		}
-		if s.limitedPart(g) < 1 {
+		if s.usableFraction(g) < 1 {
 			// A limit may end at any moment, and what it leaves runs on.
 			continue
 		}
-		if n := s.warmOf(model, domain, g.members); n > 0 {
-			offers = append(offers, offer{g, n})
+		if n := s.countWarm(model, domain, g.members); n > 0 {
+			candidates = append(candidates, candidate{g, n})
 		}
 	}
-	slices.SortStableFunc(offers, func(a, b offer) int {
-		return cmp.Or(compareBool(b.group.far(), a.group.far()), cmp.Compare(b.brings, a.brings), cmp.Compare(a.group.key, b.group.key))
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(compareBool(b.group.spansDomains(), a.group.spansDomains()), cmp.Compare(b.warm, a.warm), cmp.Compare(a.group.key, b.group.key))
 	})
 	var out []*group
-	for _, o := range offers {
+	for _, o := range candidates {
 		if have >= model.Size {
 			break
 		}
 		out = append(out, o.group)
-		have += o.brings
+		have += o.warm
 	}
 	return out, have >= model.Size
 }
 
-// warmOf counts the endpoints of a domain that could start a model without a
+// countWarm counts the endpoints of a domain that could start a model without a
 // load.
-func (s *situation) warmOf(model serving.Model, domain string, endpoints []*serving.Endpoint) int {
+func (s *situation) countWarm(model serving.Model, domain string, endpoints []*serving.Endpoint) int {
 	n := 0
 	for _, e := range endpoints {
 		if e.Domain == domain && isWarm(e, model) && s.staging[e.ID] == "" {
@@ -128,14 +128,14 @@
 	return n
 }
 
-// takeoverAge is how long a group stands before it may be ended for another:
+// minTakeoverAge is how long a group stands before it may be ended for another:
 // what is believed of it, and of what it was formed for, may just change.
-const takeoverAge = 3 * time.Second
+const minTakeoverAge = 3 * time.Second
 
-// takeoverPause is the least time between two takeovers from another model: the
+// takeoverCooldown is the least time between two takeovers from another model: the
 // demand follows what callers get with some delay. Without it three controllers
 // swapped their groups forth and back in the first three seconds of a day.
-const takeoverPause = 5 * time.Second
+const takeoverCooldown = 5 * time.Second
 
 // improves reports whether groups should give their members to a group of a
 // model: where only slow groups of the same model end, if that makes up for
@@ -143,12 +143,12 @@
 func (s *situation) improves(model serving.Model, victims []*group) bool {
 	change := map[string]float64{model.Name: float64(model.Size)}
 	for _, g := range victims {
-		change[g.model.Name] -= s.worth(g) * float64(len(g.members))
+		change[g.model.Name] -= s.memberWeight(g) * float64(len(g.members))
 	}
 	if len(change) == 1 {
 		return change[model.Name] > 0
 	}
-	if s.settling {
+	if s.inCooldown {
 		return false
 	}
 	cost := s.weights.TakeoverGain
@@ -160,19 +160,19 @@
 	return s.gainOf(change) >= cost
 }
 
-// worth is what a member of a group counts for, against one of a group within a
+// memberWeight is what a member of a group counts for, against one of a group within a
 // domain that takes all that it can do.
-func (s *situation) worth(g *group) float64 {
-	worth := s.limitedPart(g)
-	if g.far() {
-		worth /= max(1, s.engine.FarFactor)
+func (s *situation) memberWeight(g *group) float64 {
+	memberWeight := s.usableFraction(g)
+	if g.spansDomains() {
+		memberWeight /= max(1, s.engine.FarFactor)
 	}
-	return worth
+	return memberWeight
 }
 
-// limitedPart is the part of a group's work that the limit of its head leaves, by the mean work
+// usableFraction is the part of a group's work that the limit of its head leaves, by the mean work
 // of the requests that come for its model.
-func (s *situation) limitedPart(g *group) float64 {
+func (s *situation) usableFraction(g *group) float64 {
 	perSecond := 0.0
 	if s.limit != nil && g.head != nil {
 		perSecond = s.limit(g.head)
--- a/internal/groupcontrol/value.go
+++ b/internal/groupcontrol/value.go
@@ -46,9 +46,9 @@
 // DefaultWeights were found by the rounds in docs/DECISIONS.md.
 var DefaultWeights = Weights{Demand: 0.85, Headroom: 1.6, ModelChange: 0.7, TakeoverGain: 0.02, SpareFraction: 0.06, CorrectForLateness: true, LocalWeight: 0.7, AcrossDomains: true, WarmSpares: true, SecondModels: true}
 
-// leastDemand is the demand, in endpoints, below which what is observed says
+// minDemand is the demand, in endpoints, below which what is observed says
 // nothing yet.
-const leastDemand = 0.5
+const minDemand = 0.5
 
 // observed is the work that callers ask for of all models, in endpoints that
 // would be busy all the time.
@@ -62,9 +62,9 @@
 
 // capacity is the number of endpoints at work or free.
 func (s *situation) capacity() float64 {
-	total := float64(len(s.free) + len(s.soon))
+	total := float64(len(s.free) + len(s.soonFree))
 	for _, m := range s.engine.Models {
-		total += s.groupsOf(m)*float64(m.Size) + s.elsewhere[m.Name]
+		total += s.groupsOf(m)*float64(m.Size) + s.remote[m.Name]
 	}
 	return total
 }
@@ -73,7 +73,7 @@
 // expects, and what callers ask for.
 func (s *situation) shareOf(m serving.Model) float64 {
 	total := s.observed()
-	if total < leastDemand {
+	if total < minDemand {
 		return m.Fraction
 	}
 	observed := s.demand[m.Name] * float64(m.Size) / total
@@ -85,39 +85,39 @@
 // count as needed.
 func (s *situation) demandOf(m serving.Model) float64 {
 	total := s.weights.Headroom * s.observed()
-	if total < leastDemand {
+	if total < minDemand {
 		total = max(1, s.capacity())
 	}
 	demand := s.shareOf(m) * total / float64(m.Size)
 	if inTime, known := s.inTime[m.Name]; known && s.weights.CorrectForLateness {
-		groups := s.groupsOf(m) + s.elsewhere[m.Name]/float64(m.Size)
-		demand = min(max(demand, groups/fullness(inTime)), mostCorrection*demand)
+		groups := s.groupsOf(m) + s.remote[m.Name]/float64(m.Size)
+		demand = min(max(demand, groups/inverseServed(inTime)), maxCorrection*demand)
 	}
 	return demand
 }
 
 const (
-	// leastJudged is the number of requests, older ones counting for less, from which
+	// minMeasured is the number of requests, older ones counting for less, from which
 	// on the part of them that was in time says something.
-	leastJudged = 20
-	// mostCorrection bounds what lateness adds to a demand that was reckoned: cuts and
+	minMeasured = 20
+	// maxCorrection bounds what lateness adds to a demand that was reckoned: cuts and
 	// lost members make requests late as well.
-	mostCorrection = 1.8
-	// leastInTime keeps the reverse of the curve within what it is for.
-	leastInTime = 0.3
+	maxCorrection = 1.8
+	// minInTime keeps the reverse of the curve within what it is for.
+	minInTime = 0.3
 )
 
-// fullness is the reverse of served: how many times the demand the groups are that serve
+// inverseServed is the reverse of served: how many times the demand the groups are that serve
 // a part of it in time.
-func fullness(inTime float64) float64 {
-	inTime = min(0.99, max(leastInTime, inTime))
-	return inTime / math.Pow(1-math.Pow(inTime, fullPower), 1.0/fullPower)
+func inverseServed(inTime float64) float64 {
+	inTime = min(0.99, max(minInTime, inTime))
+	return inTime / math.Pow(1-math.Pow(inTime, servedExponent), 1.0/servedExponent)
 }
 
-// fullPower sets how sharply the bend is between groups that lack work and
+// servedExponent sets how sharply the bend is between groups that lack work and
 // groups that lack time. Groups are seldom loaded alike, so some are full long
 // before all are.
-const fullPower = 3
+const servedExponent = 3
 
 // value is the part of the work that is served in time, by estimate, after a
 // change of the endpoints at work on each model here.
@@ -125,11 +125,11 @@
 	value := 0.0
 	for _, m := range s.engine.Models {
 		demand := s.demandOf(m)
-		here := max(0, s.groupsOf(m)+change[m.Name]/float64(m.Size))
-		everywhere := here + s.elsewhere[m.Name]/float64(m.Size)
-		together := served(demand, everywhere)
-		alone := served(demand/float64(max(1, s.dataCentres)), here)
-		value += s.shareOf(m) * ((1-s.weights.LocalWeight)*together + s.weights.LocalWeight*alone)
+		localGroups := max(0, s.groupsOf(m)+change[m.Name]/float64(m.Size))
+		allGroups := localGroups + s.remote[m.Name]/float64(m.Size)
+		shared := servedFraction(demand, allGroups)
+		isolated := servedFraction(demand/float64(max(1, s.dataCentres)), localGroups)
+		value += s.shareOf(m) * ((1-s.weights.LocalWeight)*shared + s.weights.LocalWeight*isolated)
 	}
 	return value
 }
@@ -138,23 +138,23 @@
 // those across domains count for less.
 func (s *situation) groupsOf(m serving.Model) float64 {
 	endpoints := 0.0
-	for _, models := range s.working {
+	for _, models := range s.inUse {
 		endpoints += models[m.Name]
 	}
 	return endpoints / float64(m.Size)
 }
 
-// served is the part of a demand that a number of groups serves in time: all of
+// servedFraction is the part of a demand that a number of groups serves in time: all of
 // it with many groups, and what they have time for with few. Its slope only
 // falls, so of two models that lack groups the one that lacks more comes first:
 // with a curve that is flat at both ends a plan gave up the model that was worse
 // off (docs/DECISIONS.md, round F).
-func served(demand, groups float64) float64 {
+func servedFraction(demand, groups float64) float64 {
 	if groups <= 0 {
 		return 0
 	}
-	full := groups / demand
-	return full / math.Pow(1+math.Pow(full, fullPower), 1.0/fullPower)
+	ratio := groups / demand
+	return ratio / math.Pow(1+math.Pow(ratio, servedExponent), 1.0/servedExponent)
 }
 
 // gainOf is what a change is worth.
@@ -172,13 +172,13 @@
 	for name, n := range change {
 		after[name] += n
 	}
-	again := s.value(after) - s.value(change)
-	return s.weights.ModelChange * again * float64(endpoints) / float64(from.Size)
+	recovered := s.value(after) - s.value(change)
+	return s.weights.ModelChange * recovered * float64(endpoints) / float64(from.Size)
 }
 
-// pays reports whether a group is worth more than what its members could do for
+// isWorthwhile reports whether a group is worth more than what its members could do for
 // the groups that they come from.
-func (s *situation) pays(f formation) bool {
+func (s *situation) isWorthwhile(f formation) bool {
 	change := map[string]float64{f.model.Name: float64(f.model.Size)}
 	cost := 0.0
 	for _, from := range s.engine.Models {
@@ -191,20 +191,20 @@
 				changing++
 			}
 		}
-		if changing > 0 && s.isReachable(from, f.members[0].Domain) {
+		if changing > 0 && s.couldForm(from, f.members[0].Domain) {
 			cost += s.changeCost(change, from, changing)
 		}
 	}
 	return s.gainOf(change) >= cost
 }
 
-// isReachable reports whether a domain has, beside the groups of a model, all
+// couldForm reports whether a domain has, beside the groups of a model, all
 // endpoints but one that another group of it takes.
-func (s *situation) isReachable(model serving.Model, domain string) bool {
-	n := s.warmOf(model, domain, s.free) + s.warmOf(model, domain, s.soon)
+func (s *situation) couldForm(model serving.Model, domain string) bool {
+	n := s.countWarm(model, domain, s.free) + s.countWarm(model, domain, s.soonFree)
 	for _, g := range s.groups {
 		if g.model.Name != model.Name {
-			n += s.warmOf(model, domain, g.members)
+			n += s.countWarm(model, domain, g.members)
 		}
 	}
 	return n >= model.Size-1
--- a/internal/groupcontrol/value_test.go
+++ b/internal/groupcontrol/value_test.go
@@ -15,15 +15,15 @@
 	const demand = 5
 	last := 1.0
 	for groups := range 30 {
-		gain := served(demand, float64(groups+1)) - served(demand, float64(groups))
+		gain := servedFraction(demand, float64(groups+1)) - servedFraction(demand, float64(groups))
 		require.Greater(t, gain, 0.0)
 		require.LessOrEqual(t, gain, last)
 		last = gain
 	}
 }
 
-// demanded returns a data centre of three with a demand in groups.
-func demanded(s situation, largeDemand, smallDemand float64) situation {
+// withDemand returns a data centre of three with a demand in groups.
+func withDemand(s situation, largeDemand, smallDemand float64) situation {
 	s.demand = map[string]float64{large.Name: largeDemand, small.Name: smallDemand}
 	s.dataCentres = 3
 	return s
@@ -38,11 +38,11 @@
 	}{
 		// Fifteen of sixteen are left of a large group, and a group of four could be
 		// formed of them.
-		{"members wait for the last one of a group that is needed", demanded(newSituation(rack{free: 15}, rack{small: 3}), 3, 4), 0, 0},
-		{"members do not wait for a group that nobody needs", demanded(newSituation(rack{free: 15, small: 1}, rack{large: 2}), 0.1, 12), 3, 1},
+		{"members wait for the last one of a group that is needed", withDemand(newSituation(rack{free: 15}, rack{small: 3}), 3, 4), 0, 0},
+		{"members do not wait for a group that nobody needs", withDemand(newSituation(rack{free: 15, small: 1}, rack{large: 2}), 0.1, 12), 3, 1},
 		// Nobody asks for the small model, and its four groups give up the members
 		// that the large one lacks.
-		{"groups that nobody needs are ended", demanded(newSituation(rack{free: 14, small: 4}), 3, 0.1), 0, 1},
+		{"groups that nobody needs are ended", withDemand(newSituation(rack{free: 14, small: 4}), 3, 0.1), 0, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := plan(test.situation)
@@ -55,19 +55,19 @@
 // Three controllers that saw the same gap ended groups forth and back in the
 // first three seconds of their service.
 func TestGroupsAreNotEndedAgainSoonAfterATakeover(t *testing.T) {
-	s := demanded(newSituation(rack{free: 14, small: 4}), 3, 0.1)
-	s.settling = true
+	s := withDemand(newSituation(rack{free: 14, small: 4}), 3, 0.1)
+	s.inCooldown = true
 	require.Empty(t, plan(s).takeovers)
 }
 
 func TestLoadsGoWhereTheyCompleteWhatIsNeeded(t *testing.T) {
-	s := demanded(newSituation(rack{free: 15, small: 3, spare: 0}, rack{small: 4}), 3, 4)
-	empty := &serving.Endpoint{ID: "new", Domain: "rack-0"}
-	s.free = append(s.free, empty)
+	s := withDemand(newSituation(rack{free: 15, small: 3, spare: 0}, rack{small: 4}), 3, 4)
+	fresh := &serving.Endpoint{ID: "new", Domain: "rack-0"}
+	s.free = append(s.free, fresh)
 	d := plan(s)
 	require.Empty(t, d.formations)
 	require.NotEmpty(t, d.stagings)
-	require.Equal(t, staging{empty, large, 1}, d.stagings[0])
+	require.Equal(t, staging{fresh, large, 1}, d.stagings[0])
 	require.Equal(t, 16*time.Second, d.stagings[0].model.LoadTime)
 }
 
@@ -75,7 +75,7 @@
 // another model. The model that looks neediest here is served elsewhere; its
 // domain stayed reserved for it in every plan, and nothing was formed there.
 func TestAGroupThatDoesNotPayReservesNothing(t *testing.T) {
-	s := elsewhere(demanded(newSituation(rack{large: 2, small: 1, free: 16}), 6, 4), 0, 400)
+	s := withRemote(withDemand(newSituation(rack{large: 2, small: 1, free: 16}), 6, 4), 0, 400)
 	s.weights.LocalWeight = 0
 	require.Equal(t, small.Name, s.byNeed()[0].Name)
 	d := plan(s)
@@ -88,19 +88,19 @@
 // twenty full groups of one model stood beside nine of another that had little to do,
 // through a burst of fourteen seconds.
 func TestADemandThatIsNotServedInTimeCountsForMore(t *testing.T) {
-	s := demanded(newSituation(rack{large: 2, small: 8}), 1.2, 4.8)
-	reckoned := s.demandOf(small)
+	s := withDemand(newSituation(rack{large: 2, small: 8}), 1.2, 4.8)
+	estimated := s.demandOf(small)
 	gain := s.gainOf(map[string]float64{small.Name: 4})
 	s.inTime = map[string]float64{small.Name: 0.6, large.Name: 0.99}
-	require.Greater(t, s.demandOf(small), 1.2*reckoned)
-	require.LessOrEqual(t, s.demandOf(small), mostCorrection*reckoned)
+	require.Greater(t, s.demandOf(small), 1.2*estimated)
+	require.LessOrEqual(t, s.demandOf(small), maxCorrection*estimated)
 	require.Greater(t, s.gainOf(map[string]float64{small.Name: 4}), gain)
 	s.inTime[small.Name] = 0.95
-	require.InDelta(t, reckoned, s.demandOf(small), 0.01*reckoned, "what is in time corrects nothing")
+	require.InDelta(t, estimated, s.demandOf(small), 0.01*estimated, "what is in time corrects nothing")
 }
 
 func TestFullnessIsTheReverseOfServed(t *testing.T) {
-	for _, full := range []float64{0.5, 0.8, 1, 1.5} {
-		require.InDelta(t, full, fullness(served(1, full)), 0.001)
+	for _, ratio := range []float64{0.5, 0.8, 1, 1.5} {
+		require.InDelta(t, ratio, inverseServed(servedFraction(1, ratio)), 0.001)
 	}
 }
