--- a/internal/groupcontrol/controller.go
+++ b/internal/groupcontrol/controller.go
@@ -14,8 +14,8 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Controller forms, repairs and ends the groups of one data centre while its
-// node holds the lease.
+// Controller forms, repairs and dissolves the replica groups of one data centre while its node
+// holds the lease.
 type Controller struct {
 	options   Options
 	endpoints Endpoints
@@ -23,44 +23,43 @@
 	suspects  func() []serving.EndpointID
 	lease     *leaseManager
 	log       logging.Logger
-	// wake has an entry when something happened that the plan depends on.
+	// wake requests an early tick.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// busy has the operation that each endpoint is in.
+	// busy maps an endpoint to the operation that it takes part in.
 	busy map[serving.EndpointID]*operation
-	// dead endpoints did not answer lately.
+	// dead has the endpoints that failed to respond lately.
 	dead map[serving.EndpointID]deadMark
-	// probed is when the members of a suspected group were last asked.
+	// lastProbe is when the members of a suspect group were last probed.
 	lastProbe map[string]time.Time
-	// unopened is since when a group has been seen unopened or headless
-	// without an operation on it.
+	// unopenedSince is when a group was first seen unopened or without a head while no
+	// operation worked on it.
 	unopenedSince map[string]time.Time
-	// standing is since when a group has been seen without fault.
+	// healthySince is when a group was first seen without a fault.
 	healthySince map[string]time.Time
-	// known is what each endpoint was at a number of orders, where that is
-	// known from the endpoint itself.
+	// knownStates has the states that the endpoints themselves reported last.
 	knownStates map[serving.EndpointID]knownState
-	// taken endpoints said that they are in a group, against their row.
+	// inOtherGroup is when an endpoint reported a group although its row shows none.
 	inOtherGroup map[serving.EndpointID]time.Time
 	// firstSeen is when each endpoint was first listed.
 	firstSeen map[serving.EndpointID]time.Time
-	// staged is what each spare was last told to stage.
+	// stagingOrders has the last model that each endpoint was ordered to stage.
 	stagingOrders map[serving.EndpointID]stagingOrder
-	// reserved domains, by name.
+	// reservations are keyed by domain.
 	reservations map[string]reservation
-	// takenOver is when groups were last ended for another model.
+	// lastTakeover is when groups were last dissolved in favour of another model.
 	lastTakeover time.Time
 	epoch        uint64
-	// since is when this hold of the lease began.
+	// leaseSince is when this node acquired the lease.
 	leaseSince   time.Time
 	groupsFormed uint64
 	nextLoad     time.Time
 	running      sync.WaitGroup
 }
 
-// New returns a controller that has not started. suspects returns the
-// endpoints that traffic finds silent or failing.
+// New returns a controller that has not started. suspects returns the endpoints that fail or
+// stall according to request traffic.
 func New(o Options, store table.Store, endpoints Endpoints, d *directory.Directory, suspects func() []serving.EndpointID) *Controller {
 	c := &Controller{
 		options:   o,
@@ -76,7 +75,7 @@
 	return c
 }
 
-// maxSeenEpoch is the highest lease epoch that the data centre's endpoints tell of by their groups.
+// maxSeenEpoch returns the highest lease epoch among the memberships that endpoints report.
 func (c *Controller) maxSeenEpoch() uint64 {
 	highest := uint64(0)
 	for _, e := range c.directory.View().Endpoints {
@@ -87,7 +86,7 @@
 	return highest
 }
 
-// reset forgets what an earlier hold of the lease knew.
+// reset discards the state of an earlier tenure of the lease.
 func (c *Controller) reset(epoch uint64) {
 	c.epoch = epoch
 	c.leaseSince = time.Now()
@@ -107,18 +106,18 @@
 // HoldsLease reports whether this node is the controller now.
 func (c *Controller) HoldsLease() bool { return c.Epoch() != 0 }
 
-// HoldsPastExpiry reports whether this node acts under an expired lease because the store
-// does not answer.
+// HoldsPastExpiry reports whether this node acts under an expired lease because the store does
+// not respond.
 func (c *Controller) HoldsPastExpiry() bool { return c.lease.heldPastExpiry() }
 
-// Epoch returns the epoch under which this node acts, or zero.
+// Epoch returns the lease epoch under which this node acts, or zero.
 func (c *Controller) Epoch() uint64 {
 	epoch, _ := c.lease.Held()
 	return epoch
 }
 
-// ObserveController records that another node of the data centre acts under an epoch. A
-// later epoch than this node's ends a hold past expiry.
+// ObserveController records the epoch under which another node of the data centre acts. If it
+// is later than this node's epoch, a lease held past expiry is given up.
 func (c *Controller) ObserveController(epoch uint64) {
 	c.lease.observeEpoch(epoch)
 	if epoch > c.Epoch() {
@@ -126,7 +125,7 @@
 	}
 }
 
-// Run acts until the context ends.
+// Run runs the controller until the context is cancelled.
 func (c *Controller) Run(ctx context.Context) {
 	leaseDone := make(chan struct{})
 	go func() {
@@ -144,7 +143,7 @@
 		case <-ticker.C:
 			c.tick(ctx, time.Now())
 		case <-c.wake:
-			// Others that end at the same time are seen together.
+			// Operations that finish at the same time share one tick.
 			if pause(ctx, c.options.Tick/10) == nil {
 				c.tick(ctx, time.Now())
 			}
@@ -152,7 +151,7 @@
 	}
 }
 
-// requestTick has the next tick come soon.
+// requestTick makes the next tick run soon.
 func (c *Controller) requestTick() {
 	select {
 	case c.wake <- struct{}{}:
@@ -176,10 +175,10 @@
 	}
 }
 
-// Release gives up the lease; the controller must have stopped.
+// Release releases the lease; the controller must have stopped.
 func (c *Controller) Release(ctx context.Context) { c.lease.release(ctx) }
 
-// tick looks at the view once and starts the operations that it asks for.
+// tick plans once from the current view and starts the resulting operations.
 func (c *Controller) tick(ctx context.Context, now time.Time) {
 	epoch, held := c.lease.Held()
 	if !held {
@@ -192,9 +191,9 @@
 	}
 	view := c.directory.View()
 	if version, _ := c.directory.TableVersion(); version == 0 || view.Configuration == nil {
-		// What a peer brought of the table is a part of it: groups of which this node
-		// knows some members alone would look as if they had lost the others. Its grace
-		// for rows that lag begins with the whole.
+		// Rows that came from a peer are only part of the table: groups would seem to have
+		// lost the members whose rows are missing. The grace for lagging rows starts with the
+		// complete table.
 		c.leaseSince = now
 		return
 	}
@@ -206,7 +205,7 @@
 	}
 }
 
-// startTakeover ends groups and keeps their members for another.
+// startTakeover dissolves groups and reserves their members' domain for another group.
 func (c *Controller) startTakeover(ctx context.Context, t takeover, now time.Time) {
 	c.reservations[t.domain] = reservation{t.model.Name, now.Add(reservationTTL)}
 	if t.changesModel() {
@@ -217,7 +216,7 @@
 	}
 }
 
-// startStagings begins loads to hosts, as many as may run at once.
+// startStagings starts model loads up to the limit of concurrent loads.
 func (c *Controller) startStagings(ctx context.Context, s *situation, stagings []staging, now time.Time) {
 	for _, st := range stagings {
 		if len(s.staging) >= c.maxConcurrentLoads(s.engine) {
@@ -233,9 +232,9 @@
 	}
 }
 
-// allowsSecondModelLoad reports whether a load may begin that completes no group and
-// makes no spare: only a part of the loads that may run at once, and at the
-// start once all groups are formed.
+// allowsSecondModelLoad reports whether an endpoint may load a second model, which neither
+// completes a group nor provides a spare. Such loads get only part of the concurrent loads,
+// and while loads are unpaced they wait until no operation runs.
 func (c *Controller) allowsSecondModelLoad(s *situation) bool {
 	if c.options.Unpaced() {
 		return len(c.busy) == 0
@@ -243,11 +242,11 @@
 	return len(s.staging) < max(1, c.maxConcurrentLoads(s.engine)/secondModelLoadDivisor)
 }
 
-// secondModelLoadDivisor divides the loads at once for those of members of groups.
+// secondModelLoadDivisor limits loads of second models to a fraction of the concurrent loads.
 const secondModelLoadDivisor = 3
 
-// maxConcurrentLoads is how many loads this data centre runs at a time: more would
-// slow each other down, and those of the other data centres.
+// maxConcurrentLoads returns this data centre's share of the concurrent loads; further loads
+// would slow all of them down.
 func (c *Controller) maxConcurrentLoads(engine *serving.Engine) int {
 	if engine.LoadsAtOnce <= 0 || c.options.Unpaced() {
 		return math.MaxInt
--- a/internal/groupcontrol/ensure.go
+++ b/internal/groupcontrol/ensure.go
@@ -10,7 +10,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// condition is what a report must show.
+// condition is a requirement on an endpoint's report.
 type condition func(serving.Report) bool
 
 func inGroup(name string, epoch uint64) condition {
@@ -29,18 +29,18 @@
 	}
 }
 
-// left reports that an endpoint is not in a group any more.
+// left is met when the endpoint is no longer in the group.
 func left(name string, epoch uint64) condition {
 	return func(r serving.Report) bool { return !inGroup(name, epoch)(r) }
 }
 
-// ensure gives an order until it was taken or its condition holds. An order
-// names the number of orders that the endpoint has taken, so that one without
-// an answer is settled before the next, and is refused if it comes late.
+// ensure sends an order until the endpoint accepts it or the condition is met. Each order
+// carries the number of orders that the endpoint is expected to have accepted, so an order
+// without a response is resolved before the next one, and a delayed one is rejected.
 //
-// A join is given only to an endpoint that was in no other group at that very
-// number of orders. What rows and peers say of it may be old: a controller that
-// took over joined an endpoint whose row did not yet show its open group.
+// A join is sent only to an endpoint that was in no other group at exactly that number of
+// orders. Its row may be stale: a new controller could otherwise take a member out of an open
+// group.
 func (o *operation) ensure(ctx context.Context, e *serving.Endpoint, order serving.Order, met condition) error {
 	for range maxOrderAttempts {
 		state, known := o.lastState(e)
@@ -80,8 +80,8 @@
 	return errTimeout
 }
 
-// refreshReports asks endpoints that were thought free, one of which is not: what is
-// believed of only a part of a group would look like a group that lost members.
+// refreshReports gets reports from all members after one of them turned out to be in another
+// group. Knowing only some members of that group would make it look incomplete.
 func (o *operation) refreshReports(ctx context.Context, members []*serving.Endpoint) {
 	var wg sync.WaitGroup
 	for _, e := range members {
@@ -90,26 +90,25 @@
 	wg.Wait()
 }
 
-// markInOtherGroup leaves an endpoint alone for a while that is in a group
-// although its row says otherwise.
+// markInOtherGroup excludes an endpoint for a while that is in a group although its row shows
+// none.
 func (o *operation) markInOtherGroup(e *serving.Endpoint, state knownState) {
-	o.log.Info("an endpoint is not free", "endpoint", string(e.ID), "group", state.membership.Group, "epoch", state.membership.Epoch, "orders", state.orders)
+	o.log.Info("endpoint is already in another group", "endpoint", string(e.ID), "group", state.membership.Group, "epoch", state.membership.Epoch, "orders", state.orders)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.knownStates, e.ID)
 	o.inOtherGroup[e.ID] = time.Now()
 }
 
-// recordAccepted notes what an endpoint is after it took an order. A leave takes
-// effect at once, so endpoints answer that it is done: were that not noted, the
-// endpoint would count as a member until its row says otherwise, and its next
-// join would name the wrong number of orders. If it had left before, its number
-// is one too high here, and the next order is refused and settled by asking.
+// recordAccepted records the state of an endpoint after it accepted an order. A leave takes
+// effect at once; without the record the endpoint would count as a member until its row
+// changes, and its next join would carry the wrong number of orders. If the endpoint had left
+// before, the recorded number is one too high, and the next order is rejected and resolved by
+// a report.
 //
-// A leave of a group that it is not in is done as well, and changes nothing: an
-// endpoint that was in another group was taken for free, and joined and left in
-// vain once a second. One that is believed in no group takes no order by it: its number is
-// asked for before the next one.
+// A leave for a group that the endpoint is not in succeeds without effect, so the endpoint
+// must not be recorded as free. If it was believed to be in no group, its number of orders is
+// unknown and is read again before the next order.
 func (o *operation) recordAccepted(e *serving.Endpoint, order serving.Order, state knownState) {
 	if order.Kind == serving.OrderLeave && state.membership.Group != "" && state.membership.Group != order.Group {
 		o.recordState(e.ID, state)
@@ -142,7 +141,8 @@
 	}
 }
 
-// reportWithRetry has an endpoint report, and gives it up if it does not twice.
+// reportWithRetry gets a report in at most two attempts and marks the endpoint dead if both
+// fail.
 func (o *operation) reportWithRetry(ctx context.Context, e *serving.Endpoint) (serving.Report, error) {
 	var report serving.Report
 	var err error
@@ -158,34 +158,32 @@
 			return report, errMemberLost
 		}
 	}
-	o.markDead(e, "it did not answer")
+	o.markDead(e, "no response to two report requests")
 	return report, errMemberLost
 }
 
-// Times between two questions to an endpoint that is on its way. Questions
-// are priced; the endpoint's row is read all the time and tells it as well,
-// a little later.
+// Intervals between reports from an endpoint that is expected to change its state. A report
+// costs a call; the endpoint's row, which is watched anyway, shows the change a little later.
 const (
 	fastPollInterval = 250 * time.Millisecond
 	slowPollInterval = 2 * time.Second
-	// fastPollPeriod is how long after the expected time an endpoint is asked
-	// often.
+	// fastPollPeriod is how long after the expected time the short interval applies.
 	fastPollPeriod = 1500 * time.Millisecond
 )
 
-// await waits until an endpoint's row or report meets a condition. It asks
-// first when the endpoint is expected to be there.
+// await waits until an endpoint's row or report meets a condition. The first report is
+// requested at the expected time.
 func (o *operation) await(ctx context.Context, e *serving.Endpoint, expected, limit time.Duration, met condition) error {
 	start := time.Now()
 	next := start.Add(expected)
 	for time.Since(start) < limit {
 		row := o.directory.View().Endpoints[e.ID]
 		if row == nil {
-			o.markDead(e, "it is not listed any more")
+			o.markDead(e, "it is no longer listed")
 			return errMemberLost
 		}
 		if row.StartedAt != e.StartedAt {
-			o.markDead(e, "it has begun anew")
+			o.markDead(e, "it restarted")
 			return errMemberLost
 		}
 		if met(serving.Report{Membership: row.Membership, Model: row.Model}) {
@@ -211,7 +209,7 @@
 	return errTimeout
 }
 
-// pause waits, unless the context ends first.
+// pause sleeps, or returns early when the context is cancelled.
 func pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/groupcontrol/ensure_test.go
+++ b/internal/groupcontrol/ensure_test.go
@@ -13,8 +13,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// newOperation returns an operation whose only member is an endpoint that is listed and in
-// no group.
+// newOperation returns an operation on one endpoint that is listed and in no group.
 func newOperation(t *testing.T) (*operation, *serving.Endpoint) {
 	t.Helper()
 	d := directory.New(directory.Codec{Endpoint: func(_ string, value []byte) (e serving.Endpoint, err error) {
@@ -28,14 +27,13 @@
 	return c.begin([]*serving.Endpoint{e}, "m"), e
 }
 
-// A group could not be formed since an endpoint was in another one. The leave of
-// the group that was not formed must not make it look free: a controller tried the same
-// three endpoints for ten seconds.
-func TestALeaveOfAnotherGroupFreesNobody(t *testing.T) {
+// Guards against taking a member of another group for free after the leave of a group that
+// could not be formed with it.
+func TestRecordAccepted_IgnoresLeaveOfAnotherGroup(t *testing.T) {
 	op, e := newOperation(t)
 	serves := serving.Membership{Group: "serves", Epoch: 3, State: serving.MemberOpen}
 
-	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "not formed", Epoch: 4}, knownState{0, 5, serves})
+	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "failed", Epoch: 4}, knownState{0, 5, serves})
 	state, known := op.lastState(e)
 	require.True(t, known)
 	require.Equal(t, knownState{0, 5, serves}, state)
@@ -47,12 +45,9 @@
 	require.Empty(t, op.directory.View().Endpoints["e"].Membership.Group)
 }
 
-// At 300 nodes before 3,000 endpoints an endpoint was joined to a group while the one that it
-// was in was open. An operation that fails lets its members go one by one, and those that have
-// left are used again at once; when it ended, it took the marks of whoever used them next for
-// its own, since marks were names of models. The endpoint was then in two operations. This
-// was found by reading: of that day there are no logs.
-func TestAnOperationThatEndsKeepsTheMarksOfTheNext(t *testing.T) {
+// Guards against an endpoint in two operations: a failed operation releases its members one by
+// one, and must not clear the marks of the operations that use them next.
+func TestOperation_FinishKeepsMarksOfNextOperation(t *testing.T) {
 	c := New(Options{LeaseTTL: time.Second}, memtable.New(), nil, directory.New(directory.Codec{}), nil)
 	e := &serving.Endpoint{ID: "e"}
 	first := c.begin([]*serving.Endpoint{e}, "m")
@@ -60,24 +55,22 @@
 	require.False(t, c.isBusy("e"))
 	second := c.begin([]*serving.Endpoint{e}, "m")
 	first.release(e)
-	require.True(t, c.isBusy("e"), "the next operation has it")
+	require.True(t, c.isBusy("e"), "the next operation must keep its mark")
 	first.finish()
-	require.True(t, c.isBusy("e"), "the next operation has it")
+	require.True(t, c.isBusy("e"), "the next operation must keep its mark")
 	second.finish()
 	require.False(t, c.isBusy("e"))
 }
 
-// A leave of an endpoint that was believed in no group changes nothing there, so it did not
-// take an order. Counted as one, the number was that of a join which another operation gave
-// it meanwhile: it looked free at the very number of orders that it had, and its next join
-// took it out of an open group.
-func TestALeaveOfAnEndpointInNoGroupIsNotCounted(t *testing.T) {
+// Guards against counting a leave that had no effect: the wrong number of orders could match a
+// join by another operation, and the next join would take the endpoint out of an open group.
+func TestRecordAccepted_IgnoresLeaveOfFreeEndpoint(t *testing.T) {
 	op, e := newOperation(t)
 	before := knownState{0, 5, serving.Membership{}}
 	join := serving.Order{Kind: serving.OrderJoin, Group: "opens", Epoch: 3, Model: "m", Members: []serving.EndpointID{"e"}}
 	op.recordAccepted(e, join, before)
-	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "not formed", Epoch: 2}, before)
+	op.recordAccepted(e, serving.Order{Kind: serving.OrderLeave, Group: "failed", Epoch: 2}, before)
 	state, known := op.lastState(e)
-	require.False(t, known && state.membership.Group == "", "it is asked before its next join, or known to be in its group")
+	require.False(t, known && state.membership.Group == "", "must be unknown or in its group")
 	require.Equal(t, "opens", op.directory.View().Endpoints["e"].Membership.Group)
 }
--- a/internal/groupcontrol/groupcontrol.go
+++ b/internal/groupcontrol/groupcontrol.go
@@ -1,16 +1,16 @@
-// Package groupcontrol decides which endpoints of a data centre form which
-// replica groups, and has them do so.
+// Package groupcontrol decides which endpoints of a data centre form which replica groups, and
+// forms and dissolves these groups.
 //
-// One node of a data centre holds the lease and acts (controller.go). A plan
-// is pure (plan.go); an operation (form.go, dissolve.go) carries one plan out
-// and ends. The endpoints themselves hold the state of the groups: a new
-// controller reads it from them and takes over groups that stand.
+// One node of each data centre holds the lease and is the controller (controller.go). plan.go
+// computes plans as a pure function; an operation carries out one plan (operations.go). The
+// endpoints store the state of the groups: a new controller reads it from them and takes over
+// the existing groups.
 //
-// Three things keep an order that is carried out late from doing harm. It
-// names the number of orders that its endpoint must have taken, so it is
-// refused once another has been. It carries the lease's epoch as its fence.
-// And a controller opens only groups whose members it had join itself, so no
-// order of an earlier controller to one of them can still be under way.
+// Three checks make a delayed order harmless. It carries the number of orders that its
+// endpoint is expected to have accepted, so it is rejected if another one was accepted first.
+// It carries the lease epoch as its fencing token. And a controller opens only groups whose
+// members it ordered to join itself, so no order of an earlier controller to them can still be
+// in flight.
 package groupcontrol
 
 import (
@@ -25,32 +25,33 @@
 
 // Errors of Endpoints.
 var (
-	// ErrNoAnswer means that a call may have been carried out, or may be yet.
-	ErrNoAnswer = errors.New("the endpoint did not answer")
+	// ErrNoAnswer means that the call may or may not have taken effect, or still may.
+	ErrNoAnswer = errors.New("the endpoint did not respond")
 	// ErrOtherIncarnation means that another incarnation of the endpoint has its address.
-	ErrOtherIncarnation = errors.New("another incarnation of the endpoint answered")
-	// ErrRefused means that an order does not fit the endpoint's state.
+	ErrOtherIncarnation = errors.New("another incarnation of the endpoint responded")
+	// ErrRefused means that the order was rejected because it does not fit the endpoint's
+	// state.
 	ErrRefused = errors.New("the order does not fit the endpoint's state")
-	// ErrFenced means that the endpoint has seen a newer controller or epoch.
-	ErrFenced = errors.New("the order is older than one that the endpoint has taken")
+	// ErrFenced means that the endpoint has seen a later lease epoch.
+	ErrFenced = errors.New("the endpoint has seen a later fencing token than that of the order")
 )
 
-// Endpoints calls endpoints.
+// Endpoints sends requests to endpoints.
 type Endpoints interface {
-	// Report asks an endpoint about itself.
+	// Report returns an endpoint's report about itself.
 	Report(ctx context.Context, address string, id serving.EndpointID) (serving.Report, error)
-	// Order gives an order; done says that it already holds.
+	// Order sends an order; done means that its effect already holds.
 	Order(ctx context.Context, address string, id serving.EndpointID, o serving.Order) (done bool, err error)
 }
 
-// Demand is what callers ask for of one model.
+// Demand is the measured demand for one model.
 type Demand struct {
-	// Groups is the work, in groups that would be busy with it all the time.
+	// Groups is the work, in groups that would be fully busy with it.
 	Groups float64
-	// Requests is how many come a second.
+	// Requests is the number of requests per second.
 	Requests float64
-	// InTime is the fraction of requests that were served in time lately, and Measured the
-	// number of requests it is based on, older ones weighted less.
+	// InTime is the recent fraction of requests that were served in time, and Measured the
+	// number of requests it is based on, with older ones weighted less.
 	InTime   float64
 	Measured float64
 }
@@ -58,50 +59,49 @@
 // Options of a Controller.
 type Options struct {
 	Node string
-	// Address is where other nodes reach this one; the lease names it.
+	// Address is the address of this node for other nodes; the lease row contains it.
 	Address    string
 	DataCentre serving.DataCentre
-	// DataCentres is how many data centres share the weight store.
+	// DataCentres is the number of data centres that share the weight store.
 	DataCentres int
-	// Unpaced reports whether loads need not be paced: nothing is served yet.
+	// Unpaced reports whether loads need no pacing because nothing is served yet.
 	Unpaced func() bool
-	// HolderAlive reports whether another node that holds the lease was heard from lately;
-	// nil means that this is unknown.
+	// HolderAlive reports whether a recent message shows that another node, the leaseholder,
+	// is alive; nil means that this is unknown.
 	HolderAlive func() bool
 	// OnHolderRead, unless nil, is called with each lease row that is read.
 	OnHolderRead func(row lease.Row)
-	// Rank is this node's place in the order in which those of the data centre
-	// look at a lease whose holder is silent; nil means that it is the first.
+	// Rank is this node's position in the order in which the nodes of the data centre read the
+	// lease of a silent holder; nil means the first.
 	Rank func() int
-	// FirstReadDelay is how long the node waits before it first reads the lease.
+	// FirstReadDelay is how long the node waits before its first read of the lease.
 	FirstReadDelay time.Duration
-	// IsEarlierIncarnation reports whether a holder of the lease is an earlier incarnation
-	// of this node that no longer runs; nil means that this is unknown.
+	// IsEarlierIncarnation reports whether a holder of the lease is an earlier incarnation of
+	// this node that no longer runs; nil means that this is unknown.
 	IsEarlierIncarnation func(holder string) bool
-	// Now is the clock by which the lease is held, which counts time in which the machine
-	// was suspended; nil means the monotonic clock, which does not.
+	// Now is the clock for the lease, which must count time during which the machine was
+	// suspended; nil means time.Now, which does not.
 	Now func() time.Time
-	// Demand returns what callers ask for of each model over all data centres.
+	// Demand returns the demand for each model over all data centres.
 	Demand func() map[directory.Pool]Demand
-	// LastEvent returns when an endpoint last sent any node something of a request,
-	// zero if none is known; nil means that nobody knows.
+	// LastEvent returns when any node last received a response event from an endpoint, zero if
+	// that is unknown; nil means that it is unknown for all.
 	LastEvent func(serving.EndpointID) time.Time
-	// Limit returns how many requests a second an endpoint takes that limits them, zero if it
-	// does not; nil means that nobody knows of any.
+	// Limit returns the rate limit of an endpoint in requests per second, zero if it has none;
+	// nil means that no endpoint has one.
 	Limit func(*serving.Endpoint) float64
-	// Weights are those of the plan.
+	// Weights are the weights of the planner.
 	Weights Weights
 	// LeaseTTL is how long the lease of a silent holder lasts.
 	LeaseTTL time.Duration
 	// LeaseOutageExtension is how long a holder keeps an expired lease while the store does
-	// not answer; zero disables this. Two holders cannot harm a group, because an order
-	// names the number of orders that its endpoint has accepted.
+	// not respond; zero disables this. Two holders cannot harm a group, because an order
+	// carries the number of orders that its endpoint has accepted.
 	LeaseOutageExtension time.Duration
 	// CallTimeout bounds one report or order.
 	CallTimeout time.Duration
-	// Tick is the time between two looks at the view.
+	// Tick is the interval between two plans.
 	Tick time.Duration
-	// DrainWait is the longest wait for the requests of a group with a
-	// leaving member.
+	// DrainWait is the longest wait for the requests of a group with a draining member.
 	DrainWait time.Duration
 }
--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -21,10 +21,10 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Every promise that is asserted in the program ends the tests when broken.
+// Violated invariants end the tests.
 func init() { invariant.SetFatal(true) }
 
-// timeout is far longer than anything here takes on an idle machine.
+// timeout is far longer than any step takes on an idle machine.
 const timeout = 60 * time.Second
 
 var models = []serving.Model{
@@ -32,26 +32,26 @@
 	{Name: "small", Size: 3, Fraction: 0.43, Pace: 0.6, LoadTime: 400 * time.Millisecond, WarmTime: 210 * time.Millisecond},
 }
 
-// leaseTTL is the lease of a hall's controllers.
+// leaseTTL is the lease TTL of the controllers.
 const leaseTTL = 300 * time.Millisecond
 
-// loadsPerSec is what the weight store allows.
+// loadsPerSec is the rate limit of the weight store.
 const loadsPerSec = 20
 
-// testDataCentre is one data centre with endpoints and controllers, all in memory.
+// testDataCentre is a data centre with endpoints and controllers, all in memory.
 type testDataCentre struct {
 	t     *testing.T
 	table *memtable.Table
 	fleet *fleetstandin.Fleet
 	// perDomain is the number of endpoints in a domain.
 	perDomain int
-	// paced is set where loads are short no more.
+	// paced turns on the rate limit of loads.
 	paced bool
 
-	// lastEvent tells the controllers when a head last gave anybody an event.
+	// lastEvent is the controllers' Options.LastEvent.
 	lastEvent func(serving.EndpointID) time.Time
 
-	// known is the directory of the controller that was started last.
+	// lastDirectory is the directory of the last controller that was started.
 	lastDirectory *directory.Directory
 
 	mu       sync.Mutex
@@ -91,13 +91,13 @@
 	dc.suspects = ids
 }
 
-// startController starts a node's startController; stop ends it as a kill would, with
-// the lease still held.
+// startController starts a node's controller. stop ends it without releasing the lease, as a
+// crash would.
 func (dc *testDataCentre) startController(node string) (stop func()) {
 	return dc.startControllerWithStore(node, dc.table)
 }
 
-// startControllerWithStore starts a controller that reads the rows of a store.
+// startControllerWithStore starts a controller whose directory reads from the given store.
 func (dc *testDataCentre) startControllerWithStore(node string, store table.Store) (stop func()) {
 	d := directory.New(fleetstandin.Codec())
 	dc.lastDirectory = d
@@ -140,7 +140,7 @@
 	return stop
 }
 
-// awaitOpen waits until a number of groups of each model are open and whole.
+// awaitOpen waits until a number of groups of each model are open and complete.
 func (dc *testDataCentre) awaitOpen(large, small int) {
 	dc.t.Helper()
 	require.Eventually(dc.t, func() bool {
@@ -155,12 +155,12 @@
 	require.Empty(dc.t, dc.fleet.Broken())
 }
 
-func TestADomainServesEachModelAndKeepsSpares(t *testing.T) {
+func TestController_FormsGroupsAndKeepsSpares(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
-	// Two spares remain, and each has started one of the models. All hosts hold
-	// the other model than that of the last group.
+	// Two spares remain, and each has started one of the models. Every host holds the other
+	// model than that of the endpoint's last group.
 	dc.awaitStaged()
 	dc.requireUnbroken()
 	require.Equal(t, 7, dc.fleet.JoinLoads())
@@ -173,7 +173,7 @@
 	require.Equal(t, map[string]int{"large": 1, "small": 1}, last)
 }
 
-func TestALostMemberIsReplacedWithoutALoad(t *testing.T) {
+func TestController_ReplacesCrashedMemberWithoutLoad(t *testing.T) {
 	for rank, name := range []string{"the head", "another member"} {
 		t.Run(name, func(t *testing.T) {
 			dc := newDataCentre(t, 9)
@@ -188,27 +188,25 @@
 	}
 }
 
-// loadsPerDomain are those of nine endpoints that can each start both models:
-// that of their last group, and the one that their host holds.
+// loadsPerDomain counts two loads for each of nine endpoints: the model of its last group and
+// the one that its host holds.
 const loadsPerDomain = 9 + 9
 
-// awaitStaged waits until nothing is left to be staged in a domain of nine.
+// awaitStaged waits until nothing is left to stage in a domain of nine.
 func (dc *testDataCentre) awaitStaged() {
 	dc.t.Helper()
 	require.Eventually(dc.t, func() bool { return dc.fleet.Loads() == loadsPerDomain }, timeout, 5*time.Millisecond)
-	// The last loads have to end before they can help.
+	// The last loads must finish before they are usable.
 	time.Sleep(2 * models[0].LoadTime)
 	require.Equal(dc.t, loadsPerDomain, dc.fleet.Loads())
 }
 
-// A domain with one spare loses two members of its large group: a small group
-// gives its members up, as the large one is needed more, and no join loads.
-// Six groups of the large model were three after fifteen calm seconds, while the other
-// model's were a third full.
-func TestAGroupThatIsNeededLessGivesItsMembersUp(t *testing.T) {
+// Guards against a missing large group beside small ones with little demand: when a domain
+// with one spare loses a large group, a small group must give up its members without a load.
+func TestController_TakesOverLessNeededGroup(t *testing.T) {
 	dc := newDataCentreWithDomains(t, 10, 10)
 	dc.startController("n1")
-	// Ten endpoints make one large group and two small ones.
+	// Ten endpoints form one large group and two small ones.
 	dc.awaitOpen(1, 2)
 	require.Eventually(t, func() bool { return dc.fleet.Loads() == 2*10 }, timeout, 5*time.Millisecond)
 	time.Sleep(2 * models[0].LoadTime)
@@ -218,9 +216,9 @@
 	require.Equal(t, 10, dc.fleet.JoinLoads())
 }
 
-// Loads from the weight store are paced, however many endpoints are empty
-// (CEILING). A slow machine only makes them fewer.
-func TestLoadsAreNoMoreThanTheWeightStoreAllows(t *testing.T) {
+// Guards against exceeding the rate limit of the weight store, however many endpoints are
+// empty. A slow machine only lowers the rate.
+func TestController_RespectsLoadRateLimit(t *testing.T) {
 	dc := newDataCentre(t, 36)
 	dc.paced = true
 	start := time.Now()
@@ -235,7 +233,7 @@
 	dc.requireUnbroken()
 }
 
-// member returns the member of a rank in an open group of a size.
+// member returns the member with a rank in an open group of a model.
 func (dc *testDataCentre) member(model string, rank int) serving.EndpointID {
 	want := models[0].Size
 	if model == "small" {
@@ -257,14 +255,13 @@
 			}
 		}
 	}
-	dc.t.Fatalf("no group of %s", model)
+	dc.t.Fatalf("no group of model %s", model)
 	return ""
 }
 
-// A head that neither the table nor a controller reaches may be open still,
-// and take requests: its members must have left before they join again, or they are
-// in two groups.
-func TestAHeadThatIsCutOffKeepsNoMemberInTwoGroups(t *testing.T) {
+// Guards against members in two groups: an unreachable head may still be open and accept
+// requests, so its members must leave before they join another group.
+func TestController_WaitsForMembersOfIsolatedHead(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -283,7 +280,7 @@
 	dc.requireUnbroken()
 }
 
-func TestAGroupWithALeavingMemberIsReplaced(t *testing.T) {
+func TestController_ReplacesGroupWithDrainingMember(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -293,7 +290,7 @@
 	dc.requireUnbroken()
 }
 
-func TestANewControllerTakesOverGroupsThatStand(t *testing.T) {
+func TestController_KeepsGroupsOfItsPredecessor(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	stop := dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -301,14 +298,14 @@
 	stop()
 	orders := dc.fleet.Orders()
 	dc.startController("n2")
-	// The new one has the lease when it repairs; until then nothing moves.
+	// Nothing changes until the new controller has the lease and something to repair.
 	time.Sleep(time.Second)
 	require.Equal(t, orders, dc.fleet.Orders())
 	dc.fleet.Set(dc.member("small", 1), fleetstandin.Dark)
 	dc.awaitOpen(1, 1)
 }
 
-// staleRows is a store whose endpoint rows stand still.
+// staleRows is a store whose endpoint rows never change.
 type staleRows struct {
 	table.Store
 	page table.Page
@@ -328,9 +325,8 @@
 	return s.Store.Watch(ctx, name, since, wait)
 }
 
-// Rows lag, and peers repeat what was: a controller that believes endpoints
-// of open groups free must not have them join.
-func TestAControllerWithOldRowsTakesNobodyFromAnOpenGroup(t *testing.T) {
+// Guards against joining members of open groups that stale rows or peers show as free.
+func TestController_StaleRowsDoNotBreakOpenGroups(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	before, err := dc.table.Read(context.Background(), fleetstandin.EndpointTable, "")
 	require.NoError(t, err)
@@ -340,15 +336,15 @@
 	dc.startControllerWithStore("n2", staleRows{dc.table, before})
 	taken := dc.fleet.Reports()
 	require.Eventually(t, func() bool { return dc.fleet.Reports() > taken }, timeout, 5*time.Millisecond)
-	// It has asked the first endpoint, and goes by the answers from here on.
+	// After the first report it has the endpoints' actual state.
 	time.Sleep(time.Second)
 	dc.requireUnbroken()
 	require.Equal(t, map[string]int{"large": 1, "small": 1}, dc.fleet.Open())
 }
 
-// A member that is cut off from the store alone does its work: its group serves
-// on, and is replaced only when the member does not answer any more.
-func TestAGroupServesOnWithAMemberThatIsNotListed(t *testing.T) {
+// Guards against dissolving a group because a member is partitioned from the store alone. The
+// group is replaced only when the member stops responding.
+func TestController_KeepsGroupWithUnlistedMember(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -365,10 +361,9 @@
 	dc.requireUnbroken()
 }
 
-// A member that neither control nor the store reaches does its work as long as its
-// head gives events, which it cannot without any of its members. The group ends once
-// the head is silent as well.
-func TestAGroupThatGivesEventsStands(t *testing.T) {
+// Guards against dissolving a group that serves although neither the controller nor the store
+// reaches a member. The group is dissolved once the head sends no events either.
+func TestController_KeepsUnreachableGroupWithEvents(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	var silent atomic.Bool
 	dc.lastEvent = func(serving.EndpointID) time.Time {
@@ -385,13 +380,13 @@
 	dc.fleet.Set(member, fleetstandin.CutOff)
 	dc.setSuspects(member)
 	time.Sleep(time.Second)
-	require.Equal(t, group, dc.fleet.Group(head).Group, "it stands")
+	require.Equal(t, group, dc.fleet.Group(head).Group, "the group must be kept")
 	silent.Store(true)
 	require.Eventually(t, func() bool { return dc.fleet.Group(head).Group != group }, timeout, 5*time.Millisecond)
 	dc.requireUnbroken()
 }
 
-// laggingRows is a store whose endpoint rows come late.
+// laggingRows is a store whose endpoint rows arrive late.
 type laggingRows struct {
 	table.Store
 	lag time.Duration
@@ -405,10 +400,9 @@
 	return page, err
 }
 
-// A member that has left is known to be free at once, and not only by its row:
-// its next join must name the right number of orders. One member of sixteen "in another
-// group" ended the forming of a group twelve times in three seconds.
-func TestAMemberThatHasLeftIsFreeAtOnce(t *testing.T) {
+// Guards against waiting for the row of a member that has left: its next join would carry the
+// wrong number of orders and be rejected.
+func TestController_FreesMemberBeforeItsRowChanges(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startControllerWithStore("n1", laggingRows{dc.table, 60 * time.Millisecond})
 	dc.awaitOpen(1, 1)
@@ -420,10 +414,9 @@
 	require.Zero(t, dc.fleet.Refused())
 }
 
-// Orders get no answer and are carried out late, endpoints die and are cut
-// off, controllers are killed and two run at once: whatever happens, no group
-// opens that was not whole, and no endpoint is in two.
-func TestRandomTroubleBreaksNoPromise(t *testing.T) {
+// Runs with delayed orders, crashed and isolated endpoints, crashed controllers and two
+// controllers at once. No incomplete group may open, and no endpoint may be in two groups.
+func TestController_KeepsInvariantsUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
@@ -469,31 +462,29 @@
 	}
 }
 
-// A member is lost while the store does not answer anybody. The controller
-// repairs its group all the same: endpoints take its orders. In eight seconds of outage
-// two groups were lost and none formed.
-func TestAGroupIsRepairedWhileTheStoreIsOut(t *testing.T) {
+// Guards against groups that stay lost while the store is down: endpoints accept orders
+// without it.
+func TestController_RepairsDuringStoreOutage(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.startController("n2")
 	dc.awaitOpen(1, 1)
 	dc.awaitStaged()
 	dc.table.SetFaults(memtable.Faults{Down: true})
-	// Longer than the lease.
+	// Longer than the lease TTL.
 	time.Sleep(3 * leaseTTL)
 	dead := dc.member("large", 1)
 	dc.fleet.Set(dead, fleetstandin.Dark)
 	dc.setSuspects(dead)
 	dc.awaitOpen(1, 1)
-	// It still stands once the store is back.
+	// The group survives the end of the outage.
 	dc.table.SetFaults(memtable.Faults{})
 	dc.awaitOpen(1, 1)
 }
 
-// Heads end and begin again within a fraction of a second, under the ids that they had. The
-// controller took what they said for old news, and them for dead: here the groups were whole
-// after 9.8 s in three runs of three, and after 1.1 s with lives told apart.
-func TestMembersThatStartAgainUnderTheirIDsAreUsedAtOnce(t *testing.T) {
+// Guards against excluding endpoints that restart under the same id: their reports must not be
+// taken for stale ones of the crashed incarnation.
+func TestController_ReusesRestartedEndpoints(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -515,17 +506,15 @@
 		start := time.Now()
 		require.Eventually(t, func() bool { return dc.fleet.Open()["large"]+dc.fleet.Open()["small"] == 2 }, timeout, 5*time.Millisecond)
 		took := time.Since(start)
-		t.Logf("members of rank %d: whole again after %s", rank, took)
-		require.Less(t, took, 4*time.Second, "a model loads in half a second here; a dead endpoint is left out for eight")
+		t.Logf("members of rank %d: all groups open after %s", rank, took)
+		require.Less(t, took, 4*time.Second, "a model loads in 0.5 s; a dead endpoint is excluded for 8 s")
 		dc.requireUnbroken()
 	}
 }
 
-// A node that has just started may hold the lease before it has read the table of endpoints. A
-// peer may bring it the rows that have changed since another life of it last heard: then it
-// knows some members of groups alone, and would have them leave for want of the others. Found
-// by reading; fails without the wait for a whole table.
-func TestAControllerThatKnowsAPartOfTheTableEndsNothing(t *testing.T) {
+// Guards against dissolving groups after a restart: rows from a peer may reach the controller
+// before the complete table, and groups would seem to lack the members whose rows are missing.
+func TestController_WaitsForCompleteTable(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	stop := dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -544,13 +533,13 @@
 	require.NotEmpty(t, part)
 	dc.lastDirectory.ApplyChanges(part, page.Version-1, page.Version, time.Now())
 	time.Sleep(3 * time.Second)
-	require.Equal(t, orders, dc.fleet.Orders(), "longer than the grace for rows that lag")
+	require.Equal(t, orders, dc.fleet.Orders(), "no order before the table is complete, even after the grace for lagging rows")
 	store.available.Store(true)
 	time.Sleep(time.Second)
 	dc.awaitOpen(1, 1)
 }
 
-// failingReads is a store of which reads of the endpoints fail for a while.
+// failingReads is a store whose endpoint reads fail until it becomes available.
 type failingReads struct {
 	table.Store
 	available atomic.Bool
--- a/internal/groupcontrol/groups.go
+++ b/internal/groupcontrol/groups.go
@@ -11,44 +11,41 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// group is a formation of a group as the endpoints tell it.
+// group is one formation of a replica group as its members report it.
 type group struct {
-	// key names the formation: the group's name and epoch.
+	// key identifies the formation by the group's name and epoch.
 	key     string
 	name    string
 	epoch   uint64
 	head    *serving.Endpoint
 	members []*serving.Endpoint
 	model   serving.Model
-	// lapsed members have no row any more; they answered when they were last
-	// asked, or were not asked yet.
+	// lapsed members have no row any more, but are not known to be dead.
 	lapsed []*serving.Endpoint
-	// age is for how long it has been seen without fault.
+	// age is how long the group has been seen without a fault.
 	age time.Duration
 }
 
-// spansDomains reports whether a group spans domains.
 func (g *group) spansDomains() bool {
 	return slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return e.Domain != g.members[0].Domain })
 }
 
-// deadTTL is how long an endpoint that did not answer is left out.
+// deadTTL is how long an endpoint that did not respond is excluded.
 const deadTTL = 8 * time.Second
 
-// deadMark is when one incarnation of an endpoint was found not to answer.
+// deadMark records when an incarnation of an endpoint was found dead.
 type deadMark struct {
 	at        time.Time
 	startedAt int64
 }
 
-// isDead reports whether an endpoint's incarnation counts as dead. One that has begun since under
-// the same id does not.
+// isDead reports whether this incarnation of an endpoint is marked as dead.
 func (c *Controller) isDead(e *serving.Endpoint, now time.Time) bool {
 	d, ok := c.dead[e.ID]
 	return ok && d.startedAt == e.StartedAt && now.Sub(d.at) < deadTTL
 }
 
-// groupKey names the formation that a membership is of.
+// groupKey returns the key of the formation that a membership belongs to.
 func groupKey(m serving.Membership) string {
 	return fmt.Sprintf("%s/%d", m.Group, m.Epoch)
 }
@@ -68,10 +65,8 @@
 	}
 }
 
-// addLapsed adds members whose rows have gone without a notice. If all of a
-// group's members that the store has lost were taken for dead, a fifth of the
-// endpoints cut off from the store would end nearly every group, while their
-// heads serve on.
+// addLapsed adds members whose rows expired without a notice. They don't count as dead, since
+// endpoints that are partitioned from the store alone still serve their groups.
 func (c *Controller) addLapsed(view *directory.View, groups map[string]*group, service serving.Service, now time.Time) {
 	for _, e := range view.Lapsed {
 		if e.Service != service.Name || e.DataCentre != c.options.DataCentre || e.Membership.Rank == 0 || c.isBusy(e.ID) || c.isDead(e, now) {
@@ -86,18 +81,17 @@
 	}
 }
 
-// hasLeft reports whether a lapsed endpoint said that it is not in the group
-// that its last row tells.
+// hasLeft reports whether a lapsed endpoint reported that it is no longer in the group of its
+// last row.
 func (c *Controller) hasLeft(e *serving.Endpoint) bool {
 	state, known := c.knownStates[e.ID]
 	return known && state.startedAt == e.StartedAt && groupKey(state.membership) != groupKey(e.Membership)
 }
 
-// checkGroup leaves a group that stands alone, and has one that does not
-// dissolved.
+// checkGroup records a healthy group and dissolves a faulty one.
 func (c *Controller) checkGroup(ctx context.Context, s *situation, g *group, now time.Time) {
 	if !slices.ContainsFunc(g.members, func(e *serving.Endpoint) bool { return !c.isDead(e, now) }) {
-		// There is nobody left to tell.
+		// No member is left to order to leave.
 		return
 	}
 	reason := c.dissolveReason(g, now)
@@ -115,16 +109,16 @@
 
 // Reasons to dissolve a group.
 const (
-	reasonBroken       = "its head is broken"
-	reasonMissing      = "a member is gone"
-	reasonUnresponsive = "a member does not answer"
-	reasonDraining     = "a member is leaving"
-	reasonUnopened     = "nobody opens it"
-	reasonHeadless     = "its head is not listed"
-	reasonTakeover     = "its members are needed more in another group"
+	reasonBroken       = "the head is broken"
+	reasonMissing      = "a member is missing"
+	reasonUnresponsive = "a member does not respond"
+	reasonDraining     = "a member is draining"
+	reasonUnopened     = "it was not opened in time"
+	reasonHeadless     = "the head is not listed"
+	reasonTakeover     = "another group needs its members more"
 )
 
-// dissolveReason returns why a group cannot go on, or nothing.
+// dissolveReason returns why a group must be dissolved, or an empty string.
 func (c *Controller) dissolveReason(g *group, now time.Time) string {
 	switch {
 	case g.head == nil:
@@ -146,44 +140,42 @@
 	return ""
 }
 
-// maxEventAge is how long an event of a group's head shows that all its members live: a
-// busy head sends one every few milliseconds, and nodes tell of it a fraction of a
-// second later.
+// maxEventAge is how long a response event from a group's head proves that all members are
+// alive. A busy head sends an event every few milliseconds, and nodes share the time of the
+// last one within a fraction of a second.
 const maxEventAge = 400 * time.Millisecond
 
-// isServing reports whether a group gives its callers events now, which it cannot without
-// any of its members, whatever these tell control. Of twenty members that only control
-// and the store could not reach for five seconds, twelve were found dead, and their
-// groups ended while their heads gave events: a third of what callers asked for in
-// these seconds was late.
+// isServing reports whether a group currently produces response events, which needs all its
+// members. Such a group is kept even if the controller and the store cannot reach some of
+// them.
 func (c *Controller) isServing(g *group, now time.Time) bool {
 	return c.options.LastEvent != nil && g.head != nil && g.head.Membership.State == serving.MemberOpen &&
 		now.Sub(c.options.LastEvent(g.head.ID)) < maxEventAge
 }
 
-// unopenedTimeout is how long a group that no operation of this controller forms
-// may stay unopened before it is formed anew.
+// unopenedTimeout is how long a group may stay unopened without an operation of this
+// controller before it is dissolved.
 const unopenedTimeout = 700 * time.Millisecond
 
-// rowLagGrace is how long a new controller takes members that it does not
-// see for rows that lag.
+// rowLagGrace is how long after acquiring the lease missing members are attributed to lagging
+// rows.
 const rowLagGrace = 1500 * time.Millisecond
 
-// trackSince returns for how long a key has been noted, and notes it if it is new.
-func trackSince[K comparable](noted map[K]time.Time, key K, now time.Time) time.Duration {
-	since, ok := noted[key]
+// trackSince returns how long ago a key was first recorded, and records it if it is new.
+func trackSince[K comparable](started map[K]time.Time, key K, now time.Time) time.Duration {
+	since, ok := started[key]
 	if !ok {
-		noted[key] = now
+		started[key] = now
 		return 0
 	}
 	return now.Sub(since)
 }
 
-// headlessTimeout is how long a group may be seen without a head: rows of its
-// members may come at different times.
+// headlessTimeout is how long a group may lack a head, since its members' rows may arrive at
+// different times.
 const headlessTimeout = 500 * time.Millisecond
 
-// addHealthy notes a group that goes on.
+// addHealthy adds a healthy group to the situation.
 func (s *situation) addHealthy(g *group) {
 	memberWeight := s.memberWeight(g)
 	for _, e := range g.members {
@@ -194,15 +186,15 @@
 	}
 }
 
-// probeInterval is the time between two probes of a suspected group, lapsedProbeInterval
-// that between two of members that are not listed any more.
+// probeInterval is the time between two probes of a suspect group, and lapsedProbeInterval the
+// time between two probes of members that are no longer listed.
 const (
 	probeInterval       = 600 * time.Millisecond
 	lapsedProbeInterval = 2 * time.Second
 )
 
-// probeSuspect asks the members of a group of which traffic finds one silent
-// or at fault, and those that are not listed any more.
+// probeSuspect probes all members of a group if any of them is suspect, and else the members
+// that are no longer listed.
 func (c *Controller) probeSuspect(ctx context.Context, g *group, now time.Time) {
 	since := now.Sub(c.lastProbe[g.key])
 	if since < probeInterval {
@@ -225,12 +217,11 @@
 	}
 }
 
-// probeHedgeDelay is the time after which an endpoint that has not answered a probe
-// yet is sent a second one.
+// probeHedgeDelay is how long a probe may be unanswered before a second one is sent.
 const probeHedgeDelay = 100 * time.Millisecond
 
-// probe marks an endpoint dead if it answers neither of two probes, which
-// overlap: groups that stand still wait for this.
+// probe marks an endpoint dead if it responds to neither of two probes. They overlap because a
+// stalled group waits for the result.
 func (c *Controller) probe(ctx context.Context, e *serving.Endpoint) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -259,7 +250,7 @@
 			}
 		}
 	}
-	c.markDead(e, "it did not answer twice")
+	c.markDead(e, "no response to two probes")
 }
 
 func (c *Controller) markDead(e *serving.Endpoint, why string) {
@@ -272,5 +263,5 @@
 		return
 	}
 	c.requestTick()
-	c.log.Warn("an endpoint counts as dead", "endpoint", string(e.ID), "address", e.Address, "group", e.Membership.Group, "why", why)
+	c.log.Warn("marked endpoint as dead", "endpoint", string(e.ID), "address", e.Address, "group", e.Membership.Group, "why", why)
 }
--- a/internal/groupcontrol/lease.go
+++ b/internal/groupcontrol/lease.go
@@ -12,43 +12,43 @@
 	"github.com/ridgehinge/ridgehinge/pkg/lease"
 )
 
-// LeaseTable holds one row for each data centre, in a partition of its own.
+// LeaseTable has one row for each data centre, in a partition of its own.
 const (
 	LeaseTable = "ridgehinge-lease"
 	leaseKey   = "controller"
 )
 
-// leaseManager keeps the lease machine going against the table.
+// leaseManager runs the lease state machine against the table.
 type leaseManager struct {
 	store     table.Store
 	partition string
 	timeout   time.Duration
 	log       logging.Logger
 
-	// holderLives spares a look at the row while the holder speaks.
+	// holderAlive avoids reads of the row while the holder is known to be alive.
 	holderAlive  func() bool
 	onHolderRead func(row lease.Row)
-	// rank is this node's place among those that look at the row.
+	// rank is this node's position in the order of reading the row.
 	rank          func() int
 	renewInterval time.Duration
-	// now counts time in which the machine was suspended: the lease runs out meanwhile.
-	now func() time.Time
-	// began is when this node started.
+	// now counts time during which the machine was suspended, so that the lease expires
+	// meanwhile.
+	now       func() time.Time
 	startedAt time.Time
 
-	// seenEpoch returns the highest lease epoch of which endpoints tell.
+	// maxSeenEpoch returns the highest lease epoch that endpoints report.
 	maxSeenEpoch func() uint64
 
 	mu      sync.Mutex
 	machine *lease.Machine
 	held    bool
-	// era is that of the store by which the machine's row counts.
+	// era is the store era to which the machine's row belongs.
 	era uint64
 }
 
-// epochsPerEra is the distance between the first epochs of two eras of the store. An era
-// gives no epoch of those before again, whatever its copy of the row tells: a node that has
-// just started knows nothing else.
+// epochsPerEra is the distance between the first epochs of two store eras. Even a restored
+// copy with an older row never yields an epoch of an earlier era, which matters for a node
+// that has just started and knows no epoch.
 const epochsPerEra = 1 << 16
 
 func newLeaseManager(store table.Store, o Options) *leaseManager {
@@ -88,14 +88,14 @@
 	epoch, held = m.machine.Held(now)
 	if held != m.held {
 		m.held = held
-		holder, known := m.machine.Holder()
-		m.log.Info("this node's hold has changed", "data_centre", m.partition, "held", held, "holder", holder, "epoch", known)
+		holder, rowEpoch := m.machine.Holder()
+		m.log.Info("lease status changed", "data_centre", m.partition, "held", held, "holder", holder, "epoch", rowEpoch)
 	}
 	return epoch, held
 }
 
-// heldPastExpiry reports whether this node acts past its lease, while the store
-// does not answer.
+// heldPastExpiry reports whether this node acts under an expired lease because the store does
+// not respond.
 func (m *leaseManager) heldPastExpiry() bool {
 	now := m.now()
 	m.mu.Lock()
@@ -103,18 +103,17 @@
 	return m.machine.HeldPastExpiry(now)
 }
 
-// stepDown ends a hold past the lease, with the reason for the log.
+// stepDown gives up a lease held past expiry; reason is logged.
 func (m *leaseManager) stepDown(reason string) {
 	now := m.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.machine.StepDown(now) {
-		m.log.Info("gives up its hold past the lease", "data_centre", m.partition, "reason", reason)
+		m.log.Info("gave up the expired lease", "data_centre", m.partition, "reason", reason)
 	}
 }
 
-// checkEra gives a hold of an earlier era of the store up, and reports whether there is a new
-// one.
+// checkEra abandons a lease of an earlier store era, and reports whether the era has changed.
 func (m *leaseManager) checkEra() bool {
 	era := m.store.Era()
 	m.mu.Lock()
@@ -124,21 +123,21 @@
 	}
 	m.machine.ObserveEpoch(era * epochsPerEra)
 	if m.era > 0 || m.held {
-		m.log.Info("the store is of another era; a hold of the one before is given up", "data_centre", m.partition, "era", era, "before", m.era, "held", m.held)
+		m.log.Info("store era changed; abandoning any lease of the previous era", "data_centre", m.partition, "era", era, "before", m.era, "held", m.held)
 		m.machine.Abandon()
 	}
 	m.era = era
 	return true
 }
 
-// observeEpoch notes an epoch under which another node acts.
+// observeEpoch records an epoch under which another node acts.
 func (m *leaseManager) observeEpoch(epoch uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.machine.ObserveEpoch(epoch)
 }
 
-// step does what the machine asks for, if anything.
+// step performs the next action of the state machine, if any.
 func (m *leaseManager) step(ctx context.Context) {
 	m.checkEra()
 	now := m.now()
@@ -153,10 +152,9 @@
 	}
 }
 
-// next returns what is to be done now: nothing while the holder, another node,
-// speaks. Once it is silent the nodes look in their order, each place a third of the
-// lease's time after the one before: sixty nodes that all look make ninety calls a
-// second.
+// next returns the next action: none while another node holds the lease and is alive. Once the
+// holder is silent, the nodes read the row in the order of their ranks, a renewal interval
+// apart, which limits the load on the store.
 func (m *leaseManager) next(now time.Time) lease.Action {
 	position := 0
 	if m.rank != nil {
@@ -179,7 +177,7 @@
 		m.machine.ObserveHolder(now)
 		return lease.Action{}
 	case now.Sub(m.startedAt) < delay:
-		// It was told its place before it ever looked: those before it have looked.
+		// The nodes of lower rank read first.
 		return lease.Action{}
 	}
 	return m.machine.Next(now)
@@ -200,7 +198,7 @@
 	m.machine.ReadDone(m.now(), row, version)
 }
 
-// fetch reads the row; its version is zero while there is none.
+// fetch reads the row; the version is zero if there is none.
 func (m *leaseManager) fetch(ctx context.Context) (row lease.Row, version uint64, err error) {
 	page, err := m.store.Read(ctx, LeaseTable, m.partition)
 	if err != nil {
@@ -225,7 +223,7 @@
 	case err == nil:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		// The epoch may be one that the lost time has seen already.
+		// The written epoch may already have been in use before the restore.
 		m.machine.WriteDone(requestedAt, action.Row, version, !restored)
 	case errors.Is(err, table.ErrUnavailable):
 		m.mu.Lock()
@@ -236,8 +234,8 @@
 	}
 }
 
-// resolveWrite finds out what became of a write that was not answered, or that met
-// a change: an earlier write of this very life may have been the change.
+// resolveWrite reads the row to find the outcome of a write that got no response or met a
+// conflict, which may be an earlier write of this incarnation.
 func (m *leaseManager) resolveWrite(ctx context.Context, requestedAt time.Time, action lease.Action) {
 	row, version, err := m.fetch(ctx)
 	restored := m.checkEra()
@@ -253,11 +251,11 @@
 	}
 }
 
-// isFromEra reports whether a row that was to be replaced was absent or of an era: what became of
-// a write is told by the era of the store in which it was asked for alone.
+// isFromEra reports whether a version is zero, for an absent row, or belongs to an era. Only
+// within the era of the request can the row show the outcome of a write.
 func isFromEra(version, era uint64) bool { return version == 0 || table.Era(version) == era }
 
-// release gives the lease up, so that another node need not wait for its end.
+// release releases the lease, so that another node need not wait until it expires.
 func (m *leaseManager) release(ctx context.Context) {
 	now := m.now()
 	m.mu.Lock()
--- a/internal/groupcontrol/lease_test.go
+++ b/internal/groupcontrol/lease_test.go
@@ -11,23 +11,23 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Sixty nodes that all look at the lease of a silent holder make ninety calls a second. They
-// look in the order of their rank.
-func TestNodesLookAtASilentLeaseInTheirOrder(t *testing.T) {
+// Guards against a burst of reads when the holder falls silent: the nodes must read the lease
+// in the order of their ranks.
+func TestLeaseManager_ReadsInRankOrder(t *testing.T) {
 	const ttl = 3 * time.Second
 	for _, test := range []struct {
 		name string
 		rank int
-		// lives is set while the holder speaks.
+		// alive is set while the holder is alive.
 		alive bool
-		// after is the time since the start, looks whether the lease is looked at.
+		// after is the time since the start; reads is whether the lease is read.
 		after time.Duration
 		reads bool
 	}{
-		{"the first at once", 0, false, 0, true},
-		{"nobody while the holder speaks", 0, true, 0, false},
-		{"the third after those before it", 3, false, 2900 * time.Millisecond, false},
-		{"and then it does", 3, false, 3100 * time.Millisecond, true},
+		{"first rank reads at once", 0, false, 0, true},
+		{"no read while the holder is alive", 0, true, 0, false},
+		{"later rank waits", 3, false, 2900 * time.Millisecond, false},
+		{"later rank reads after its delay", 3, false, 3100 * time.Millisecond, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newLeaseManager(nil, Options{
@@ -41,10 +41,9 @@
 	}
 }
 
-// While a controller is suspended with its machine another takes its lease over. By a clock
-// that stands still meanwhile it would hold the lease once it wakes, and give orders to the
-// endpoints of the other's groups. Found by reading; fails with time.Now as the clock.
-func TestALeaseRunsOutWhileItsHolderIsSuspended(t *testing.T) {
+// Guards against a holder that still acts after its machine was suspended, while another node
+// has acquired the lease. A clock that stops during suspension would not let the lease expire.
+func TestLeaseManager_ExpiresDuringSuspension(t *testing.T) {
 	const ttl = 3 * time.Second
 	store := memtable.New()
 	now := time.Now()
@@ -63,7 +62,7 @@
 	require.True(t, held)
 	run(2*ttl, second)
 	_, held = first.Held()
-	require.False(t, held, "suspended meanwhile")
+	require.False(t, held, "the lease expired during the suspension")
 	later, held := second.Held()
 	require.True(t, held)
 	require.Greater(t, later, epoch)
--- a/internal/groupcontrol/operations.go
+++ b/internal/groupcontrol/operations.go
@@ -13,39 +13,39 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// operation is one plan that is being carried out, under one epoch.
+// operation carries out one plan under one lease epoch.
 type operation struct {
 	*Controller
 	epoch   uint64
 	members []*serving.Endpoint
-	// what says what it does: a model's name if it forms a group of it.
+	// purpose is the model's name when a group is formed, or one of the purpose constants.
 	purpose string
 }
 
 const (
-	// checkInterval is the time between two looks at a member that is on its
-	// way.
+	// checkInterval is the time between two checks of a member that is changing its state.
 	checkInterval = 120 * time.Millisecond
-	// maxOrderAttempts bounds the orders of one kind to one endpoint.
+	// maxOrderAttempts bounds the attempts of one order to one endpoint.
 	maxOrderAttempts = 6
-	// joinTimeoutMargin is added to a model's load time before a member that is not
-	// ready is given up.
+	// joinTimeoutMargin is added to a model's load time as the timeout of a join.
 	joinTimeoutMargin = 8 * time.Second
-	// joinPollDelay is added to a member's expected time before it is asked.
+	// joinPollDelay is added to a member's expected start duration before its first report is
+	// requested.
 	joinPollDelay = 30 * time.Millisecond
-	// expectedOpenTime is when a head is asked whether it has opened.
+	// expectedOpenTime is how long after the order a head is first asked whether it has
+	// opened.
 	expectedOpenTime = 320 * time.Millisecond
-	// purposeDissolve marks the members of a group that is being ended.
+	// purposeDissolve marks the members of a group that is being dissolved.
 	purposeDissolve = "dissolving"
 )
 
 var (
-	errMemberLost = errors.New("a member is lost")
+	errMemberLost = errors.New("a member is dead or has restarted")
 	errInGroup    = errors.New("the endpoint is in another group")
-	errTimeout    = errors.New("the endpoint did not get there in time")
+	errTimeout    = errors.New("the endpoint did not reach the expected state in time")
 )
 
-// begin marks the members; the caller holds the lock.
+// begin marks the members as busy; the caller holds the lock.
 func (c *Controller) begin(members []*serving.Endpoint, purpose string) *operation {
 	op := &operation{Controller: c, epoch: c.epoch, members: members, purpose: purpose}
 	for _, e := range members {
@@ -58,7 +58,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.Controller.epoch != o.epoch {
-		// A later hold of the lease has its own marks.
+		// The marks belong to a later tenure of the lease.
 		return
 	}
 	for _, e := range o.members {
@@ -69,7 +69,7 @@
 	o.requestTick()
 }
 
-// startFormation begins to form a group; the caller holds the lock.
+// startFormation starts to form a group; the caller holds the lock.
 func (c *Controller) startFormation(ctx context.Context, f formation, engine *serving.Engine, now time.Time) {
 	for _, e := range f.members {
 		invariant.Check(e.Membership.Group == "", invariant.OneGroup, "endpoint %s is in %s", e.ID, e.Membership.Group)
@@ -82,31 +82,31 @@
 			waits[i] = c.reserveLoad(engine, now)
 		}
 	}
-	c.log.Info("forms a group", "group", name, "epoch", epoch, "model", f.model.Name, "members", f.ids(), "domain", f.members[0].Domain)
+	c.log.Info("started forming a group", "group", name, "epoch", epoch, "model", f.model.Name, "members", f.ids(), "domain", f.members[0].Domain)
 	c.running.Go(func() {
 		defer op.finish()
 		start := time.Now()
 		err := op.form(ctx, f, name, epoch, waits)
 		if err != nil && ctx.Err() == nil {
-			// Whoever has joined is free for the next try at once.
+			// Members that have joined become free for the next attempt at once.
 			_ = op.dissolve(ctx, &group{name: name, epoch: epoch, members: f.members})
 		}
-		c.log.Info("ended forming a group", "group", name, "epoch", epoch, "took", time.Since(start), "error", err)
+		c.log.Info("finished forming a group", "group", name, "epoch", epoch, "took", time.Since(start), "error", err)
 	})
 }
 
-// nextGroup returns a name and an epoch that were never used; the caller holds
-// the lock.
+// nextGroup returns a name and an epoch that were never used before; the caller holds the
+// lock.
 func (c *Controller) nextGroup() (name string, epoch uint64) {
 	c.groupsFormed++
 	return fmt.Sprintf("%s-%d-%d", c.options.DataCentre, c.epoch, c.groupsFormed), c.epoch*epochsPerLease + c.groupsFormed
 }
 
 // purposeWarmUp marks an endpoint that joins a group of its own.
-const purposeWarmUp = "rehearsing"
+const purposeWarmUp = "warming up"
 
-// startWarmUp begins to have an endpoint start its model in a group of its
-// own, and leave it; the caller holds the lock.
+// startWarmUp has an endpoint start its model in a group of its own and leave it; the caller
+// holds the lock.
 func (c *Controller) startWarmUp(ctx context.Context, r warmUp) {
 	members := []*serving.Endpoint{r.endpoint}
 	op := c.begin(members, purposeWarmUp)
@@ -116,17 +116,16 @@
 		defer op.finish()
 		err := op.join(ctx, r.endpoint, join, 0, r.model.WarmTime, loadTimeoutFactor*r.model.LoadTime+joinTimeoutMargin)
 		_ = op.dissolve(ctx, &group{name: name, epoch: epoch, members: members})
-		c.log.Info("had a spare start its model", "endpoint", string(r.endpoint.ID), "model", r.model.Name, "group", name, "epoch", epoch, "error", err)
+		c.log.Info("warmed up a spare", "endpoint", string(r.endpoint.ID), "model", r.model.Name, "group", name, "epoch", epoch, "error", err)
 	})
 }
 
-// epochsPerLease leaves room for the groups formed under one lease epoch.
+// epochsPerLease is the number of group epochs reserved for one lease epoch.
 const epochsPerLease = 100_000
 
-// reserveLoad returns how long a load has to wait for its turn; the caller
-// holds the lock. The first one of a hold of the lease waits a whole pause after the
-// hold's begin: the controller before may have begun a load just then. With a takeover
-// each 0.2 s, simulated, 25 loads began in five seconds at a pace of two a second.
+// reserveLoad returns how long a load has to wait to keep the rate limit; the caller holds the
+// lock. The first load after acquiring the lease waits a full interval, since the previous
+// controller may just have started one.
 func (c *Controller) reserveLoad(engine *serving.Engine, now time.Time) time.Duration {
 	if engine.LoadsPerSec <= 0 || c.options.Unpaced() {
 		return 0
@@ -137,11 +136,11 @@
 	return at.Sub(now)
 }
 
-// form has the members join, waits until each was seen ready under this very
-// name and epoch, and has the head open.
+// form orders the members to join, waits until each is ready under this name and epoch, and
+// has the head open the group.
 func (o *operation) form(ctx context.Context, f formation, name string, epoch uint64, waits []time.Duration) error {
 	join := serving.Order{Kind: serving.OrderJoin, Group: name, Epoch: epoch, Model: f.model.Name, Members: f.ids(), Fence: o.epoch}
-	// A member that is lost ends the waiting for the others.
+	// A failed member cancels the waits for the others.
 	joining, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg sync.WaitGroup
@@ -171,8 +170,8 @@
 	return o.await(ctx, head, expectedOpenTime, joinTimeoutMargin, opened(name, epoch))
 }
 
-// loadTimeoutFactor is how many load times a member may take: loads that run at
-// once slow each other down.
+// loadTimeoutFactor is how many load times a load may take, since concurrent loads slow each
+// other down.
 const loadTimeoutFactor = 3
 
 // join has one member join and waits until it is ready.
@@ -186,10 +185,10 @@
 	return o.await(ctx, e, expected+joinPollDelay, limit, ready(order.Group, order.Epoch))
 }
 
-// startDissolve begins to end a group; the caller holds the lock.
+// startDissolve starts to dissolve a group; the caller holds the lock.
 func (c *Controller) startDissolve(ctx context.Context, g *group, reason string) {
 	op := c.begin(g.members, purposeDissolve)
-	c.log.Info("dissolves a group", "group", g.name, "epoch", g.epoch, "reason", reason, "members", len(g.members))
+	c.log.Info("started dissolving a group", "group", g.name, "epoch", g.epoch, "reason", reason, "members", len(g.members))
 	c.running.Go(func() {
 		defer op.finish()
 		start := time.Now()
@@ -197,13 +196,13 @@
 			op.drain(ctx, g)
 		}
 		err := op.dissolve(ctx, g)
-		c.log.Info("ended dissolving a group", "group", g.name, "epoch", g.epoch, "took", time.Since(start), "error", err)
+		c.log.Info("finished dissolving a group", "group", g.name, "epoch", g.epoch, "took", time.Since(start), "error", err)
 	})
 }
 
-// dissolve has each member leave. No endpoint joins another group before it
-// has left its own: its head may be open still, even if nobody here reaches
-// it and no list has it. Without its members an open head stands still.
+// dissolve orders each member to leave. No endpoint joins another group before it has left its
+// own: the head may still be open even if it is unlisted and unreachable from here. Without
+// its members an open head stalls.
 func (o *operation) dissolve(ctx context.Context, g *group) error {
 	leave := serving.Order{Kind: serving.OrderLeave, Group: g.name, Epoch: g.epoch, Fence: o.epoch}
 	errs := make([]error, len(g.members))
@@ -223,15 +222,13 @@
 	return errors.Join(errs...)
 }
 
-// isMemberDead reports whether an endpoint counts as dead.
 func (o *operation) isMemberDead(e *serving.Endpoint) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.isDead(e, time.Now())
 }
 
-// release makes an endpoint that has left its group free at once, unless the next operation
-// has it already.
+// release frees an endpoint that has left its group, unless the next operation already has it.
 func (o *operation) release(e *serving.Endpoint) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -240,7 +237,7 @@
 	}
 }
 
-// drain waits, within a bound, until a head has nothing under way.
+// drain waits, within a bound, until the head has no requests.
 func (o *operation) drain(ctx context.Context, g *group) {
 	until := time.Now().Add(o.options.DrainWait)
 	for time.Now().Before(until) {
@@ -265,6 +262,6 @@
 			return
 		}
 		err := op.ensure(ctx, s.endpoint, order, func(r serving.Report) bool { return slices.Contains(r.Staged, s.model.Name) })
-		c.log.Info("told a spare to stage a model", "endpoint", string(s.endpoint.ID), "model", s.model.Name, "error", err)
+		c.log.Info("ordered a spare to stage a model", "endpoint", string(s.endpoint.ID), "model", s.model.Name, "error", err)
 	})
 }
--- a/internal/groupcontrol/loadpace_test.go
+++ b/internal/groupcontrol/operations_test.go
@@ -11,15 +11,15 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// A controller that took over did not know when the one before it had begun a load, and
-// began one at once: each takeover added a load to what may begin in a time.
-func TestLoadsKeepTheirPaceOverTakeovers(t *testing.T) {
+// Guards against extra loads after each change of the leaseholder: a new controller does not
+// know when its predecessor started the last load.
+func TestReserveLoad_KeepsRateAcrossControllers(t *testing.T) {
 	const (
 		loadsPerSec = 4.0
 		dataCentres = 2
 		window      = 5 * time.Second
 	)
-	for name, held := range map[string]time.Duration{"one hold": time.Hour, "a takeover each second": time.Second, "a takeover each 0.2 s": 200 * time.Millisecond} {
+	for name, held := range map[string]time.Duration{"one controller": time.Hour, "a new controller each second": time.Second, "a new controller each 0.2 s": 200 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				engine := &serving.Engine{LoadsPerSec: loadsPerSec}
--- a/internal/groupcontrol/orders.go
+++ b/internal/groupcontrol/orders.go
@@ -9,7 +9,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// report asks an endpoint about itself.
+// report requests a report and records it.
 func (c *Controller) report(ctx context.Context, e *serving.Endpoint) (serving.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
@@ -20,16 +20,15 @@
 	c.observe(e, report)
 	c.recordState(e.ID, knownState{report.StartedAt, report.Orders, report.Membership})
 	if report.StartedAt != e.StartedAt {
-		// It has begun anew under its id: it is in none of the groups that the incarnation
-		// before was in.
+		// It restarted under the same id, so it is in none of its earlier groups.
 		return report, ErrOtherIncarnation
 	}
 	return report, nil
 }
 
-// knownState is an endpoint's membership once one incarnation of it had taken a number of orders.
-// An order that names the number reaches the endpoint in that very state, or
-// is refused.
+// knownState is an endpoint's membership after one of its incarnations had accepted a number
+// of orders. An order that carries the number finds the endpoint in exactly this state or is
+// rejected.
 type knownState struct {
 	startedAt  int64
 	orders     uint64
@@ -42,7 +41,6 @@
 	c.knownStates[id] = state
 }
 
-// lastState returns the last known state of an endpoint's incarnation, if there is one.
 func (c *Controller) lastState(e *serving.Endpoint) (knownState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +54,7 @@
 	delete(c.knownStates, id)
 }
 
-// observe lets the directory know what an endpoint said, ahead of its row.
+// observe passes an endpoint's report to the directory before its row arrives.
 func (c *Controller) observe(e *serving.Endpoint, r serving.Report) {
 	c.directory.Observe(directory.Observation{
 		ID:         e.ID,
@@ -67,7 +65,7 @@
 	}, true, time.Now())
 }
 
-// order gives one order, if this node still holds the lease at this moment.
+// order sends one order, provided that this node still holds the lease.
 func (c *Controller) order(ctx context.Context, e *serving.Endpoint, o serving.Order) (done bool, err error) {
 	epoch, held := c.lease.Held()
 	if !held || epoch != o.Fence {
@@ -79,9 +77,9 @@
 	if errors.Is(err, ErrFenced) {
 		c.lease.stepDown("an endpoint has seen a later epoch")
 	}
-	c.log.Info("gave an order", "order", o.Kind.String(), "endpoint", string(e.ID), "group", o.Group, "epoch", o.Epoch,
+	c.log.Info("sent an order", "order", o.Kind.String(), "endpoint", string(e.ID), "group", o.Group, "epoch", o.Epoch,
 		"model", o.Model, "fence", o.Fence, "expected", o.Expected, "done", done, "error", err)
 	return done, err
 }
 
-var errLeaseLost = errors.New("the lease is not held any more")
+var errLeaseLost = errors.New("the lease is no longer held")
--- a/internal/groupcontrol/plan.go
+++ b/internal/groupcontrol/plan.go
@@ -13,11 +13,11 @@
 type formation struct {
 	service string
 	model   serving.Model
-	// members has the head first.
+	// members starts with the head.
 	members []*serving.Endpoint
 }
 
-// ids returns the members' ids, the head first.
+// ids returns the members' ids in rank order.
 func (f formation) ids() []serving.EndpointID {
 	out := make([]serving.EndpointID, 0, len(f.members))
 	for _, m := range f.members {
@@ -26,50 +26,48 @@
 	return out
 }
 
-// situation is what a plan depends on, for one service of one data centre.
+// situation is the input of a plan for one service of one data centre.
 type situation struct {
 	service string
 	engine  *serving.Engine
-	// free endpoints are in no group that stands, nor in an operation.
+	// free endpoints are neither in a healthy group nor in an operation.
 	free []*serving.Endpoint
-	// soon are endpoints that will be free in a moment: they are leaving a group
-	// that is being ended.
+	// soonFree endpoints are leaving a group that is being dissolved.
 	soonFree []*serving.Endpoint
-	// working counts, by domain and model, the endpoints of groups that stand
-	// or are being formed; those of groups across domains count for less.
+	// inUse counts, by domain and model, the endpoints of healthy groups and of groups being
+	// formed; members of groups across domains count for less.
 	inUse map[string]map[string]float64
-	// elsewhere counts, by model, the endpoints of groups in other data centres.
+	// remote counts, by model, the endpoints of groups in other data centres.
 	remote map[string]float64
-	// staging has the models that are on their way to hosts.
+	// staging has the models that are being loaded to hosts.
 	staging map[serving.EndpointID]string
-	// groups are those that stand without fault.
+	// groups are the open groups without a fault.
 	groups []*group
-	// reserved domains keep their free endpoints for a model: groups were ended
-	// to form one of it.
+	// reserved domains keep their free endpoints for a model in favour of which groups were
+	// dissolved.
 	reserved map[string]string
-	// growing domains have had a new endpoint lately, and may have more soon.
+	// growing domains have had a new endpoint recently and may get more soon.
 	growing map[string]bool
 	weights Weights
-	// settling is set shortly after groups were ended for another model.
+	// inCooldown is set shortly after groups were dissolved for another model.
 	inCooldown bool
-	// demand is the work asked of each model over all data centres, in groups
-	// that would be busy with it all the time.
+	// demand is the work for each model over all data centres, in groups that would be fully
+	// busy.
 	demand map[string]float64
-	// inTime is the part of the requests of each model that were served in time lately,
-	// where enough of them are known.
+	// inTime is the recent fraction of each model's requests that were served in time, if
+	// enough requests were measured.
 	inTime map[string]float64
-	// meanWork is how long the mean request of each model keeps a group busy, in seconds, and
-	// limit how many requests a second a head takes that limits them, zero if it does not;
-	// nil means that none does.
-	meanWork map[string]float64
-	limit    func(*serving.Endpoint) float64
-	// dataCentres is their number.
+	// meanWork is how long a mean request of each model keeps a group busy, in seconds. limit
+	// returns the rate limit of a head in requests per second, zero if it has none; nil means
+	// that no head has one.
+	meanWork    map[string]float64
+	limit       func(*serving.Endpoint) float64
 	dataCentres int
-	// open is set once a group of the data centre has taken requests.
+	// open is set once a group of the data centre has served requests.
 	open bool
 }
 
-// count adds endpoints to what works in a domain.
+// count adds n endpoints in use for a model in a domain.
 func (s *situation) count(domain, model string, n float64) {
 	if s.inUse[domain] == nil {
 		s.inUse[domain] = map[string]float64{}
@@ -77,7 +75,7 @@
 	s.inUse[domain][model] += n
 }
 
-// decision is what a plan asks for.
+// decision is the output of a plan.
 type decision struct {
 	formations []formation
 	takeovers  []takeover
@@ -85,18 +83,18 @@
 	warmUps    []warmUp
 }
 
-// freeByDomain has the free endpoints that a plan has not used yet.
+// freeByDomain has the free endpoints that the plan has not used yet.
 type freeByDomain map[string][]*serving.Endpoint
 
-// remove takes endpoints out.
+// remove deletes endpoints that the plan has used.
 func (f freeByDomain) remove(members []*serving.Endpoint) {
 	for domain := range f {
 		f[domain] = slices.DeleteFunc(f[domain], func(e *serving.Endpoint) bool { return slices.Contains(members, e) })
 	}
 }
 
-// plan returns the groups to be formed now, those to be ended so that others
-// can be formed of their members, and the models to be staged.
+// plan returns the groups to form now, the groups to dissolve so that their members can form
+// others, and the models to stage.
 func plan(s situation) decision {
 	free := freeByDomain{}
 	for _, e := range s.free {
@@ -104,7 +102,7 @@
 	}
 	var d decision
 	if !s.open {
-		// Loads for groups go first.
+		// Loads for groups come first.
 		d.formations = s.initialFormations(free)
 		return d
 	}
@@ -120,8 +118,8 @@
 	return d
 }
 
-// addNext adds the next formation or takeover to a decision, that of the neediest
-// model for which there is one.
+// addNext adds the next formation or takeover to a decision, for the neediest model that has
+// one.
 func (s *situation) addNext(d *decision, free freeByDomain) bool {
 	for _, model := range s.byNeed() {
 		if f, ok := s.warmFormation(model, free); ok {
@@ -144,7 +142,7 @@
 	return false
 }
 
-// warmFormation returns the group of a model that starts soonest without a load.
+// warmFormation returns the group of a model that can start soonest without a load.
 func (s *situation) warmFormation(model serving.Model, free freeByDomain) (formation, bool) {
 	var best formation
 	bestStart := model.LoadTime
@@ -163,9 +161,9 @@
 	return best, best.members != nil
 }
 
-// initialFormations returns the groups to be formed before anything is served, when
-// loads take a tenth of their time. Later what a group lacks is staged instead:
-// members that wait for a load are no help to others.
+// initialFormations returns the groups to form before anything is served, when loads are
+// unpaced. Later on, missing models are staged instead, so that no members are blocked in a
+// group that waits for a load.
 func (s *situation) initialFormations(free freeByDomain) []formation {
 	var out []formation
 	for {
@@ -179,9 +177,8 @@
 	}
 }
 
-// acrossDomains forms groups that span domains of endpoints that need no
-// load. Such a group is slow, and better than none while its members wait for
-// others of their domains.
+// acrossDomains forms groups that span domains from endpoints that need no load. Such a group
+// is slow, but serves while its members wait for others of their own domains.
 func (s *situation) acrossDomains(free freeByDomain) []formation {
 	var out []formation
 	for _, model := range s.byNeed() {
@@ -207,8 +204,8 @@
 	return out
 }
 
-// staysNeediest reports whether a model is needier than all others even with one more
-// group across domains. Else its members are worth more as spares.
+// staysNeediest reports whether a model would remain the neediest even with one more group
+// across domains. Otherwise the members are more useful as spares.
 func (s *situation) staysNeediest(model serving.Model) bool {
 	extended := s.coverageWith(model, float64(model.Size)/max(1, s.engine.FarFactor))
 	for _, other := range s.engine.Models {
@@ -219,8 +216,8 @@
 	return true
 }
 
-// bestInitial returns the next group to form before anything is served: the one that
-// starts soonest among those that each domain is needed for most.
+// bestInitial returns the next group to form before anything is served: each domain proposes a
+// group of its neediest model, and the one that starts soonest is chosen.
 func (s *situation) bestInitial(free freeByDomain) (formation, bool) {
 	var best formation
 	var bestStart time.Duration
@@ -234,8 +231,8 @@
 	return best, found
 }
 
-// bestInDomain returns the group that a domain is needed for most, if possible one
-// that needs no load.
+// bestInDomain returns a group of the neediest model that a domain can form, preferring groups
+// that need no load.
 func (s *situation) bestInDomain(domain string, free []*serving.Endpoint) (formation, time.Duration, bool) {
 	models := s.byNeed()
 	for _, model := range models {
@@ -259,11 +256,11 @@
 	return formation{}, 0, false
 }
 
-// coverage is how much of its part of the work a model can do: the endpoints of
-// its groups, for each unit of its fraction. The lowest is the neediest.
+// coverage is the number of endpoints that serve a model per unit of its share; the model with
+// the lowest coverage is the neediest.
 func (s *situation) coverage(m serving.Model) float64 { return s.coverageWith(m, 0) }
 
-// coverageWith is the need with some endpoints more.
+// coverageWith is the coverage with extra endpoints added.
 func (s *situation) coverageWith(m serving.Model, extra float64) float64 {
 	for _, models := range s.inUse {
 		extra += models[m.Name]
@@ -271,7 +268,7 @@
 	return extra / max(s.shareOf(m), 0.01)
 }
 
-// byNeed sorts the models, the neediest first.
+// byNeed returns the models in ascending order of coverage.
 func (s *situation) byNeed() []serving.Model {
 	models := slices.Clone(s.engine.Models)
 	slices.SortStableFunc(models, func(a, b serving.Model) int {
@@ -280,10 +277,10 @@
 	return models
 }
 
-// rejoinTime is how long a member takes that had the model last.
+// rejoinTime is how long an endpoint takes to become ready with the model of its last group.
 const rejoinTime = 200 * time.Millisecond
 
-// startDuration is how long an endpoint takes to be a ready member.
+// startDuration is how long an endpoint takes to become a ready member.
 func startDuration(e *serving.Endpoint, m serving.Model) time.Duration {
 	switch {
 	case e.Model == m.Name:
@@ -294,11 +291,11 @@
 	return m.LoadTime
 }
 
-// isWarm reports whether an endpoint can be a member without a load.
+// isWarm reports whether an endpoint can become a member without a load.
 func isWarm(e *serving.Endpoint, m serving.Model) bool { return startDuration(e, m) < m.LoadTime }
 
-// versatility ranks an endpoint by what it could start beside a model: nothing,
-// what its host holds, or the model of its last group.
+// versatility ranks an endpoint by the other models that it could start: none, a staged one,
+// or that of its last group.
 func versatility(e *serving.Endpoint, m serving.Model) int {
 	switch {
 	case e.Model != "" && e.Model != m.Name:
@@ -309,14 +306,14 @@
 	return 0
 }
 
-// chooseMembers picks the members that start soonest, in an order that is the same
-// for every controller.
+// chooseMembers picks the members that start soonest, in an order that is the same on every
+// controller.
 func chooseMembers(free []*serving.Endpoint, m serving.Model) ([]*serving.Endpoint, time.Duration) {
 	sorted := slices.Clone(free)
 	slices.SortFunc(sorted, func(a, b *serving.Endpoint) int {
 		return cmp.Or(
 			cmp.Compare(startDuration(a, m), startDuration(b, m)),
-			// Who could soon serve another model is left for that.
+			// Endpoints that could start another model are kept for it.
 			cmp.Compare(versatility(a, m), versatility(b, m)),
 			cmp.Compare(a.ID, b.ID),
 		)
--- a/internal/groupcontrol/plan_bench_test.go
+++ b/internal/groupcontrol/plan_bench_test.go
@@ -4,15 +4,14 @@
 	"testing"
 )
 
-// BenchmarkPlan is a plan of a data centre of 219 endpoints in domains of 73. On the
-// machine of the figures in docs/CAPACITY.md: 0.14 to 0.17 ms and 6 KB, ten times a second.
+// BenchmarkPlan plans for a data centre of 219 endpoints in domains of 73.
 func BenchmarkPlan(b *testing.B) {
 	for _, bench := range []struct {
 		name  string
 		after rack
 	}{
 		{"at rest", rack{large: 2, small: 9, free: 5}},
-		{"after a loss", rack{large: 1, small: 9, free: 17}},
+		{"after losing a group", rack{large: 1, small: 9, free: 17}},
 	} {
 		b.Run(bench.name, func(b *testing.B) {
 			for range b.N {
--- a/internal/groupcontrol/plan_test.go
+++ b/internal/groupcontrol/plan_test.go
@@ -16,12 +16,12 @@
 	small = serving.Model{Name: "small", Size: 4, Fraction: 0.5, Pace: 0.6, LoadTime: 12 * time.Second, WarmTime: 1100 * time.Millisecond}
 )
 
-// rack describes a domain of endpoints that can all start both models.
+// rack describes a domain whose endpoints can all start both models.
 type rack struct {
 	large, small, free, freeSmall, spare, soonFree int
 }
 
-// newSituation builds a data centre of racks.
+// newSituation returns the situation of a data centre with the given racks.
 func newSituation(racks ...rack) situation {
 	s := situation{
 		service: "llm",
@@ -74,14 +74,14 @@
 		formations []string
 		takeovers  []string
 	}{
-		{"all is well", newSituation(rack{large: 1, small: 5, free: 1}, rack{large: 1, small: 5, free: 1}), nil, nil},
-		{"a spare completes the group", newSituation(rack{small: 5, free: 16}, rack{large: 1, small: 5}), []string{"large in rack-0"}, nil},
-		{"one small group gives its members up", newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), nil, []string{"large in rack-0 of 1"}},
-		{"nothing is ended for a group whose members are on their way", newSituation(rack{small: 5, free: 2, soonFree: 14}), nil, nil},
-		{"members stay with the model that they can start at once", newSituation(rack{large: 1, small: 3}, rack{free: 16, freeSmall: 3, spare: 1}), []string{"small in rack-1", "large in rack-1"}, nil},
-		{"a model that others serve is no reason to end groups", withRemote(newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), 160, 160), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
-		{"a rack that is too small forms what it can", newSituation(rack{free: 9}), []string{"small in rack-0", "small in rack-0"}, nil},
-		{"the last groups of a model are not ended for the other", newSituation(rack{small: 1, free: 12}, rack{large: 1}), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
+		{"steady state", newSituation(rack{large: 1, small: 5, free: 1}, rack{large: 1, small: 5, free: 1}), nil, nil},
+		{"free endpoints form the missing group", newSituation(rack{small: 5, free: 16}, rack{large: 1, small: 5}), []string{"large in rack-0"}, nil},
+		{"takes over one small group", newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), nil, []string{"large in rack-0 of 1"}},
+		{"waits for members that become free soon", newSituation(rack{small: 5, free: 2, soonFree: 14}), nil, nil},
+		{"prefers models that start without a load", newSituation(rack{large: 1, small: 3}, rack{free: 16, freeSmall: 3, spare: 1}), []string{"small in rack-1", "large in rack-1"}, nil},
+		{"no takeover for a model served elsewhere", withRemote(newSituation(rack{small: 5, free: 14}, rack{large: 1, small: 5, free: 1}), 160, 160), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
+		{"small rack forms groups of the smaller model", newSituation(rack{free: 9}), []string{"small in rack-0", "small in rack-0"}, nil},
+		{"no takeover of the last groups of a model", newSituation(rack{small: 1, free: 12}, rack{large: 1}), []string{"small in rack-0", "small in rack-0", "small in rack-0"}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := plan(test.situation)
@@ -99,12 +99,12 @@
 	}
 }
 
-// Whatever a data centre looks like, plans that are carried out one after the
-// other come to rest: no two of them end each other's groups for ever.
-func TestPlansComeToRest(t *testing.T) {
+// Guards against plans that dissolve each other's groups forever: applying one plan after the
+// other must converge.
+func TestPlan_Converges(t *testing.T) {
 	for lost := range 30 {
 		s := newSituation(rack{large: 1, small: 5, free: 1}, rack{large: 1, small: 5, free: 1})
-		// The first members of a large group and of a few small ones are lost.
+		// A large group is dissolved and some of its members are lost.
 		s = dissolve(s, s.groups[0])
 		s.free = s.free[min(lost, len(s.free)):]
 		steps := 0
@@ -156,8 +156,8 @@
 	return s
 }
 
-// withLimit has the heads of a model's groups limit what they take, in requests a second, each
-// of which keeps a group busy for a tenth of a second.
+// withLimit sets a rate limit, in requests per second, on the heads of a model's groups. Each
+// request keeps a group busy for 0.1 s.
 func withLimit(s situation, model serving.Model, perSecond float64) situation {
 	s.meanWork = map[string]float64{model.Name: 0.1}
 	s.limit = func(*serving.Endpoint) float64 { return perSecond }
@@ -169,26 +169,26 @@
 	return s
 }
 
-func TestPlansCountWhatLimitsLeave(t *testing.T) {
+func TestPlan_AccountsForRateLimits(t *testing.T) {
 	racks := []rack{{large: 1, small: 4, freeSmall: 4}, {large: 1, small: 4}}
 	for _, test := range []struct {
 		name      string
 		perSecond float64
-		// small is what the groups of the model count for.
+		// small is the resulting number of groups of the model.
 		small      float64
 		formations int
 	}{
-		{"without a limit", 0, 8, 0},
-		{"a limit beyond what they can do", 50, 8, 0},
-		{"a limit of half of it", 5, 4, 1},
-		{"a limit of a tenth of it", 1, 0.8, 1},
+		{"no limit", 0, 8, 0},
+		{"limit above the capacity", 50, 8, 0},
+		{"limit at half the capacity", 5, 4, 1},
+		{"limit at a tenth of the capacity", 1, 0.8, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := withLimit(withDemand(newSituation(racks...), 2, 8), small, test.perSecond)
 			require.InDelta(t, test.small, s.groupsOf(small), 0.001)
 			d := plan(s)
 			require.Len(t, d.formations, test.formations)
-			require.Empty(t, d.takeovers, "no limited group is ended for another")
+			require.Empty(t, d.takeovers, "rate-limited groups must not be taken over")
 		})
 	}
 }
--- a/internal/groupcontrol/situation.go
+++ b/internal/groupcontrol/situation.go
@@ -28,7 +28,7 @@
 		dataCentres: c.options.DataCentres,
 		staging:     c.activeStagings(view, now),
 	}
-	// Only what is started for the first time waits for loads.
+	// Formations wait for loads only until a first group is open.
 	s.open = !c.options.Unpaced()
 	for pool, demand := range c.options.Demand() {
 		if pool.Service != service.Name {
@@ -94,11 +94,10 @@
 	until time.Time
 }
 
-// reservationTTL is how long the members of groups that were ended for another may
-// take to leave.
+// reservationTTL is how long the members of dissolved groups may take to leave.
 const reservationTTL = 1500 * time.Millisecond
 
-// activeReservations returns the model that each domain's free endpoints are kept for.
+// activeReservations returns the model that each reserved domain is kept for.
 func (c *Controller) activeReservations(now time.Time) map[string]string {
 	out := map[string]string{}
 	for domain, r := range c.reservations {
@@ -111,14 +110,14 @@
 	return out
 }
 
-// growthWindow is how long after a new endpoint its domain may have more soon.
+// growthWindow is how long after a new endpoint its domain may get more.
 const growthWindow = 1500 * time.Millisecond
 
-// otherGroupTTL is how long an endpoint is left alone that is in a group although
-// its row says otherwise: rows lag less.
+// otherGroupTTL is how long an endpoint is excluded that is in a group although its row shows
+// none; it exceeds the lag of rows.
 const otherGroupTTL = time.Second
 
-// addFree adds an endpoint that may be used for new groups.
+// addFree adds an endpoint that new groups may use.
 func (c *Controller) addFree(s *situation, e *serving.Endpoint, now time.Time) {
 	if e.Draining || c.isDead(e, now) || now.Sub(c.inOtherGroup[e.ID]) < otherGroupTTL {
 		return
@@ -133,7 +132,7 @@
 	s.free = append(s.free, e)
 }
 
-// countForming counts the groups that are being formed.
+// countForming counts the endpoints of groups that are being formed.
 func (c *Controller) countForming(s *situation, view *directory.View) {
 	for id, op := range c.busy {
 		e := view.Endpoints[id]
@@ -143,14 +142,14 @@
 	}
 }
 
-// stagingOrder is a staging that was ordered.
+// stagingOrder records an order to stage a model.
 type stagingOrder struct {
 	model string
-	// until is when it is given up.
+	// until is when the order expires.
 	until time.Time
 }
 
-// activeStagings returns the models that are on their way to hosts.
+// activeStagings returns the models that are being loaded to hosts.
 func (c *Controller) activeStagings(view *directory.View, now time.Time) map[serving.EndpointID]string {
 	out := map[serving.EndpointID]string{}
 	for id, order := range c.stagingOrders {
@@ -164,14 +163,13 @@
 	return out
 }
 
-// logPlan logs what a plan changes, with the figures as they stand once its groups
-// count as formed or ended.
+// logPlan logs the formations and takeovers of a plan with the figures after they are applied.
 func (c *Controller) logPlan(s *situation, d decision) {
 	if len(d.formations)+len(d.takeovers) == 0 {
 		return
 	}
 	for _, m := range s.engine.Models {
-		c.log.Info("has planned", "service", s.service, "model", m.Name, "formations", len(d.formations), "takeovers", len(d.takeovers),
+		c.log.Info("computed a plan", "service", s.service, "model", m.Name, "formations", len(d.formations), "takeovers", len(d.takeovers),
 			"demand", s.demandOf(m), "share", s.shareOf(m), "here", s.groupsOf(m), "elsewhere", s.remote[m.Name]/float64(m.Size),
 			"gain_of_one_more", s.gainOf(map[string]float64{m.Name: float64(m.Size)}))
 	}
--- a/internal/groupcontrol/spares.go
+++ b/internal/groupcontrol/spares.go
@@ -7,18 +7,16 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Spares of a domain are free endpoints that hold the model of the largest groups. A
-// group of 32 is lost with any one of its members, and formed again in 0.2 to 1.6 s if
-// there is a spare, else only once members of other groups have loaded its model, which
-// takes 16 s. Without them a domain of 73 keeps one endpoint free beside a group of 32 and
-// five of 8.
+// Spares of a domain are free endpoints that hold the model of the largest groups. A group
+// fails with any one of its members, and without a spare a large group can be formed again
+// only after members of other groups have loaded its model.
 
-// largest returns the model of the largest groups.
+// largest returns the model with the largest groups.
 func (s *situation) largest() serving.Model {
 	return slices.MaxFunc(s.engine.Models, func(a, b serving.Model) int { return cmp.Compare(a.Size, b.Size) })
 }
 
-// domainSize counts the endpoints of a domain, with those that are free.
+// domainSize counts the endpoints of a domain, including free ones.
 func (s *situation) domainSize(domain string, free []*serving.Endpoint) float64 {
 	n := float64(len(free))
 	for _, endpoints := range s.inUse[domain] {
@@ -32,8 +30,8 @@
 	return n
 }
 
-// spares returns the free endpoints of a domain that are kept for the largest model: first
-// those that hold it, then those that hold nothing.
+// spares returns the free endpoints of a domain that are kept for the largest model,
+// preferring those that hold it and then those that hold nothing.
 func (s *situation) spares(domain string, free []*serving.Endpoint) []*serving.Endpoint {
 	largest := s.largest()
 	size := s.domainSize(domain, free)
@@ -62,8 +60,7 @@
 	return s.availableFor(model, free, s.spares(domain, free))
 }
 
-// availableFor returns the free endpoints that a group of a model may use beside those kept
-// for the largest model, which may use all.
+// availableFor excludes the kept endpoints unless the model is the largest one.
 func (s *situation) availableFor(model serving.Model, free, kept []*serving.Endpoint) []*serving.Endpoint {
 	if model.Name == s.largest().Name {
 		return free
@@ -80,7 +77,7 @@
 	return rest
 }
 
-// stageLargest has the spares that are kept hold the largest model.
+// stageLargest stages the largest model on the kept spares that lack it.
 func (s *situation) stageLargest(kept []*serving.Endpoint) []staging {
 	largest := s.largest()
 	var out []staging
--- a/internal/groupcontrol/spares_test.go
+++ b/internal/groupcontrol/spares_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// emptyEndpoints returns a domain of endpoints that hold nothing yet.
+// emptyEndpoints returns a domain of endpoints that hold no model.
 func emptyEndpoints(n int) []*serving.Endpoint {
 	var out []*serving.Endpoint
 	for i := range n {
@@ -18,9 +18,8 @@
 	return out
 }
 
-// A domain of 73 formed a group of 32 and five of 8, with one endpoint left for the members
-// that they lose.
-func TestADomainKeepsSparesForItsLargestGroups(t *testing.T) {
+// Guards against a domain without spares for its largest group.
+func TestPlan_KeepsSparesForLargestModel(t *testing.T) {
 	for _, test := range []struct {
 		endpoints, largeSize, smallSize int
 		wantLarge, wantSmall            int
@@ -46,9 +45,8 @@
 	}
 }
 
-// The spares that are kept hold the model of the largest groups, and no smaller group
-// takes them.
-func TestSparesHoldTheLargestModel(t *testing.T) {
+// Guards against spares without the largest model, and against smaller groups that use them.
+func TestStageDomain_StagesLargestModelOnSpares(t *testing.T) {
 	s := newSituation(rack{large: 1, small: 4})
 	s.engine.Models[0].Size = 16
 	s.free = append(s.free, emptyEndpoints(6)...)
@@ -59,8 +57,8 @@
 	for _, st := range s.stageDomain("rack-0", s.free) {
 		staged[st.model.Name]++
 	}
-	require.Equal(t, 2, staged[large.Name], "6 of 100 of 38 endpoints")
-	require.Equal(t, 4, staged[small.Name], "the others become a group")
+	require.Equal(t, 2, staged[large.Name], "the spare fraction of 38 endpoints")
+	require.Equal(t, 4, staged[small.Name], "the remaining endpoints can form a group")
 	require.Len(t, s.freeFor(s.engine.Models[1], "rack-0", s.free), 4)
 	require.Len(t, s.freeFor(s.engine.Models[0], "rack-0", s.free), 6)
 }
--- a/internal/groupcontrol/staging.go
+++ b/internal/groupcontrol/staging.go
@@ -8,32 +8,31 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// staging is a model to be loaded to the host of a free endpoint.
+// staging is a model to be loaded to an endpoint's host.
 type staging struct {
 	endpoint *serving.Endpoint
 	model    serving.Model
-	// lacking is how many endpoints its group lacks with this one; loads are
-	// few, and those go first that complete a group soonest.
+	// priority is the number of endpoints that the group still lacks; lower ones come first,
+	// because loads are scarce and should complete groups soon.
 	priority int
 }
 
-// sparePriority is the lacking of a spare, which completes no group, and
-// secondModelPriority that of an endpoint that is to be able to start another model.
+// sparePriority is the priority of a spare, which completes no group, and secondModelPriority
+// that of an endpoint that loads a second model.
 const (
 	sparePriority       = 1000
 	secondModelPriority = 2000
 )
 
-// warmUp has a free endpoint join a group of its own, which is never opened,
-// so that it starts its model at once when a group lacks a member.
+// warmUp has a free endpoint join a group of its own, which is never opened, so that it can
+// later join a group without its warm time.
 type warmUp struct {
 	endpoint *serving.Endpoint
 	model    serving.Model
 }
 
-// chooseWarmUps chooses the free endpoints that hold a model and have not been in a
-// group of it. Else a spare takes its warm time, 1.1 to 1.6 s, while the
-// rest of its group waited.
+// chooseWarmUps chooses the free endpoints that hold a model but have not been in a group of
+// it. Without a warm-up a spare would delay its group by the model's warm time.
 func (s *situation) chooseWarmUps(free freeByDomain) []warmUp {
 	var out []warmUp
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
@@ -52,8 +51,7 @@
 	return out
 }
 
-// largestStagedModel returns the model on an endpoint's host, that of the largest groups
-// if there are several.
+// largestStagedModel returns the model on an endpoint's host that has the largest groups.
 func (s *situation) largestStagedModel(e *serving.Endpoint) (serving.Model, bool) {
 	var held serving.Model
 	for _, m := range s.engine.Models {
@@ -64,8 +62,8 @@
 	return held, held.Size > 0
 }
 
-// availableModel returns the model that an endpoint can start without a load, or that
-// is on its way to its host; empty if there is none.
+// availableModel returns the model that an endpoint can start without a load or is loading, or
+// an empty string.
 func (s *situation) availableModel(e *serving.Endpoint) string {
 	for _, m := range s.engine.Models {
 		if isWarm(e, m) {
@@ -75,9 +73,8 @@
 	return s.staging[e.ID]
 }
 
-// stage chooses what to load to the hosts of free endpoints: first what the
-// neediest groups lack to be formed, then a spare for each model that the
-// domain serves.
+// stage chooses the models to load to the hosts of free endpoints: first those that a group
+// lacks to be formed, then spares for each model that the domain serves.
 func (s *situation) stage(free freeByDomain) []staging {
 	var out []staging
 	for _, domain := range slices.Sorted(maps.Keys(free)) {
@@ -113,8 +110,8 @@
 	return append(out, s.stageSpares(domain, without(free, kept))...)
 }
 
-// byGain sorts the models by what a group of each is worth for each endpoint
-// that it lacks in a domain.
+// byGain sorts the models by the gain of another group per endpoint that a domain lacks for
+// it.
 func (s *situation) byGain(free []*serving.Endpoint) []serving.Model {
 	gain := map[string]float64{}
 	for _, m := range s.engine.Models {
@@ -126,8 +123,8 @@
 	return models
 }
 
-// stageSpares gives the empty hosts that are left the models that the domain
-// serves, by turns, the largest first.
+// stageSpares distributes the models that the domain serves evenly over the remaining empty
+// hosts, the largest first.
 func (s *situation) stageSpares(domain string, free []*serving.Endpoint) []staging {
 	held := map[string]int{}
 	for _, e := range free {
@@ -152,11 +149,9 @@
 	return out
 }
 
-// stageSecondModels has endpoints that were in a group hold another model than their
-// own on their hosts. A member starts the model of its last group at once, whatever its
-// host holds; so it can go over to a group of either model without a load.
-// Else a group of sixteen that lost two members while its domain has one spare
-// stays away for half a minute.
+// stageSecondModels stages a second model on the hosts of endpoints that have been in a group.
+// An endpoint can start the model of its last group at once whatever its host holds, so it can
+// then join a group of either model without a load.
 func (s *situation) stageSecondModels(free freeByDomain) []staging {
 	var out []staging
 	add := func(endpoints []*serving.Endpoint) {
@@ -178,8 +173,8 @@
 	return out
 }
 
-// secondModel returns the neediest model that a member's host should hold, if it does
-// not hold one yet beside the member's own.
+// secondModel returns the neediest model other than the endpoint's own, unless its host
+// already holds another one.
 func (s *situation) secondModel(e *serving.Endpoint) (serving.Model, bool) {
 	if e.Model == "" || e.Draining || s.staging[e.ID] != "" {
 		return serving.Model{}, false
@@ -195,7 +190,7 @@
 	return serving.Model{}, false
 }
 
-// partition splits a list by a test, in order.
+// partition splits a list by a predicate, preserving order.
 func partition(list []*serving.Endpoint, test func(*serving.Endpoint) bool) (yes, no []*serving.Endpoint) {
 	for _, e := range list {
 		if test(e) {
--- a/internal/groupcontrol/takeover.go
+++ b/internal/groupcontrol/takeover.go
@@ -9,30 +9,30 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// takeover has groups ended so that their members, with endpoints of a domain
-// that are free, form a group that is needed more.
+// takeover dissolves groups so that their members, together with free endpoints of a domain,
+// can form a group of a needier model.
 type takeover struct {
 	model  serving.Model
 	domain string
 	groups []*group
 }
 
-// changesModel reports whether groups of another model are ended.
+// changesModel reports whether groups of another model are dissolved.
 func (t takeover) changesModel() bool {
 	return slices.ContainsFunc(t.groups, func(g *group) bool { return g.model.Name != t.model.Name })
 }
 
-// takeoverOutcome tells whether groups should be ended for a model.
+// takeoverOutcome is the result of looking for a takeover.
 type takeoverOutcome uint8
 
 const (
 	takeoverNone takeoverOutcome = iota
-	// takeoverPending: the model can be formed once other operations have ended.
+	// takeoverPending means that a group can be formed once other operations have finished.
 	takeoverPending
 	takeoverFound
 )
 
-// takeoverFor returns the takeover for a model that ends the fewest groups.
+// takeoverFor returns the takeover for a model that dissolves the fewest groups.
 func (s *situation) takeoverFor(model serving.Model, free freeByDomain) (best takeover, outcome takeoverOutcome) {
 	if slices.Contains(slices.Collect(maps.Values(s.reserved)), model.Name) {
 		return takeover{}, takeoverNone
@@ -45,7 +45,7 @@
 		switch {
 		case !ok:
 		case s.countWarm(model, domain, free[domain]) >= model.Size:
-			// It could be formed now, and is not worth it.
+			// A group could be formed now but is not worthwhile.
 		case len(groups) == 0:
 			return takeover{model, domain, nil}, takeoverPending
 		case s.improves(model, groups) && (outcome == takeoverNone || len(groups) < len(best.groups)):
@@ -55,7 +55,7 @@
 	return best, outcome
 }
 
-// end takes groups out of the situation.
+// end removes groups from the situation.
 func (s *situation) end(groups []*group) {
 	s.groups = slices.DeleteFunc(slices.Clone(s.groups), func(g *group) bool { return slices.Contains(groups, g) })
 	for _, g := range groups {
@@ -80,9 +80,9 @@
 	return out
 }
 
-// victims returns the fewest groups with whose members a domain could form a
-// group without a load, which may be none: those across domains first, which
-// are slow, then those that bring the most.
+// victims returns the fewest groups, possibly none, whose members would let a domain form a
+// group without a load. Slow groups across domains come first, then those with the most usable
+// members.
 func (s *situation) victims(model serving.Model, domain string, free []*serving.Endpoint) ([]*group, bool) {
 	have := s.countWarm(model, domain, free) + s.countWarm(model, domain, s.soonFree)
 	type candidate struct {
@@ -95,7 +95,7 @@
 			continue
 		}
 		if s.usableFraction(g) < 1 {
-			// A limit may end at any moment, and what it leaves runs on.
+			// The limit may be lifted at any time, and the group still serves below it.
 			continue
 		}
 		if n := s.countWarm(model, domain, g.members); n > 0 {
@@ -116,8 +116,7 @@
 	return out, have >= model.Size
 }
 
-// countWarm counts the endpoints of a domain that could start a model without a
-// load.
+// countWarm counts the endpoints of a domain that could start a model without a load.
 func (s *situation) countWarm(model serving.Model, domain string, endpoints []*serving.Endpoint) int {
 	n := 0
 	for _, e := range endpoints {
@@ -128,18 +127,18 @@
 	return n
 }
 
-// minTakeoverAge is how long a group stands before it may be ended for another:
-// what is believed of it, and of what it was formed for, may just change.
+// minTakeoverAge is how long a group must exist before a takeover may dissolve it, since the
+// data on a new group and its demand may still change.
 const minTakeoverAge = 3 * time.Second
 
-// takeoverCooldown is the least time between two takeovers from another model: the
-// demand follows what callers get with some delay. Without it three controllers
-// swapped their groups forth and back in the first three seconds of a day.
+// takeoverCooldown is the minimum time between two takeovers from another model. Demand
+// follows changes with a delay; without the cooldown controllers could repeatedly dissolve
+// each other's choices.
 const takeoverCooldown = 5 * time.Second
 
-// improves reports whether groups should give their members to a group of a
-// model: where only slow groups of the same model end, if that makes up for
-// them; else by what it is worth.
+// improves reports whether groups should give their members to a group of a model. If only
+// slow groups of the same model are dissolved, the new group must make up for them; otherwise
+// the estimated gain must exceed the cost.
 func (s *situation) improves(model serving.Model, victims []*group) bool {
 	change := map[string]float64{model.Name: float64(model.Size)}
 	for _, g := range victims {
@@ -160,8 +159,8 @@
 	return s.gainOf(change) >= cost
 }
 
-// memberWeight is what a member of a group counts for, against one of a group within a
-// domain that takes all that it can do.
+// memberWeight is the capacity of a group's member relative to one in an unlimited group
+// within a domain.
 func (s *situation) memberWeight(g *group) float64 {
 	memberWeight := s.usableFraction(g)
 	if g.spansDomains() {
@@ -170,8 +169,8 @@
 	return memberWeight
 }
 
-// usableFraction is the part of a group's work that the limit of its head leaves, by the mean work
-// of the requests that come for its model.
+// usableFraction is the fraction of a group's capacity that the rate limit of its head leaves,
+// given the mean work of the model's requests.
 func (s *situation) usableFraction(g *group) float64 {
 	perSecond := 0.0
 	if s.limit != nil && g.head != nil {
--- a/internal/groupcontrol/value.go
+++ b/internal/groupcontrol/value.go
@@ -6,52 +6,48 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Weights set how a plan weighs what it does not know for certain.
+// Weights are the weights and switches of the planner.
 type Weights struct {
-	// Demand is the part of a model's share that the demand observed tells, the
-	// rest being what the configuration expects: a model that nobody asks for
-	// now keeps some groups.
+	// Demand is the weight of the observed demand in a model's share; the rest is the
+	// configured fraction, which keeps some groups for a model without current demand.
 	Demand float64
-	// Headroom is what the demand is multiplied with: groups are lost, and demand
-	// may rise, faster than others can be formed.
+	// Headroom multiplies the demand, since groups can fail and demand can rise faster than
+	// new groups are formed.
 	Headroom float64
-	// ModelChange is the cost of changing an endpoint that can start a model without a load
-	// to another model, relative to its part of a group: the group may stay incomplete.
+	// ModelChange is the cost of changing an endpoint that can start a model without a load to
+	// another model, relative to its part of a group: the group may stay incomplete.
 	ModelChange float64
-	// TakeoverGain is the part of the work that must be served more, by estimate,
-	// after groups were ended for another: groups that end cut their requests
-	// off, and the new one takes a second or two to open.
+	// TakeoverGain is the minimum estimated gain of a takeover, as a fraction of the work.
+	// Dissolving a group aborts its requests, and the new group takes some time to open.
 	TakeoverGain float64
 	// SpareFraction is the fraction of a domain's endpoints that is kept free for the model
 	// with the largest groups.
 	SpareFraction float64
 	// CorrectForLateness scales the estimated demand by the fraction of requests that were
-	// served in time: the estimate is too low for long prompts and bursts, which hides that
-	// a model lacks groups.
+	// served in time: the estimate is too low for long prompts and bursts, which hides that a
+	// model lacks groups.
 	CorrectForLateness bool
 	// LocalWeight weights what a data centre can serve by itself against what all can serve
-	// together: it may lose contact with the others at any time, and controllers that all
+	// together. It may be partitioned from the others at any time, and controllers that all
 	// fill the same gap overshoot.
 	LocalWeight float64
-	// AcrossDomains allows groups that span domains, which are slow, where none
-	// within a domain can be formed.
+	// AcrossDomains allows groups that span domains, which are slow, where none can be formed
+	// within a domain.
 	AcrossDomains bool
 	// WarmSpares has spares start their model ahead of need.
 	WarmSpares bool
-	// SecondModels has the hosts of members hold another model than their own,
-	// so that members can change without a load.
+	// SecondModels stages a second model on the hosts of members, so that they can change
+	// models without a load.
 	SecondModels bool
 }
 
-// DefaultWeights were found by the rounds in docs/DECISIONS.md.
+// DefaultWeights are the default weights.
 var DefaultWeights = Weights{Demand: 0.85, Headroom: 1.6, ModelChange: 0.7, TakeoverGain: 0.02, SpareFraction: 0.06, CorrectForLateness: true, LocalWeight: 0.7, AcrossDomains: true, WarmSpares: true, SecondModels: true}
 
-// minDemand is the demand, in endpoints, below which what is observed says
-// nothing yet.
+// minDemand is the demand, in endpoints, below which the configured fractions apply.
 const minDemand = 0.5
 
-// observed is the work that callers ask for of all models, in endpoints that
-// would be busy all the time.
+// observed is the demand for all models, in endpoints that would be fully busy.
 func (s *situation) observed() float64 {
 	total := 0.0
 	for _, m := range s.engine.Models {
@@ -60,7 +56,7 @@
 	return total
 }
 
-// capacity is the number of endpoints at work or free.
+// capacity is the number of endpoints in use or free.
 func (s *situation) capacity() float64 {
 	total := float64(len(s.free) + len(s.soonFree))
 	for _, m := range s.engine.Models {
@@ -69,8 +65,8 @@
 	return total
 }
 
-// shareOf is a model's part of the work, in endpoints: what the configuration
-// expects, and what callers ask for.
+// shareOf is a model's fraction of the work by endpoints, weighted between the configured
+// fraction and the observed demand.
 func (s *situation) shareOf(m serving.Model) float64 {
 	total := s.observed()
 	if total < minDemand {
@@ -80,9 +76,8 @@
 	return (1-s.weights.Demand)*m.Fraction + s.weights.Demand*observed
 }
 
-// demandOf is the work to be planned for of a model over all data centres, in
-// groups that would be busy all the time. While none is observed, all endpoints
-// count as needed.
+// demandOf is the demand to plan for over all data centres, in groups that would be fully
+// busy. Without observed demand the work is assumed to fill all endpoints.
 func (s *situation) demandOf(m serving.Model) float64 {
 	total := s.weights.Headroom * s.observed()
 	if total < minDemand {
@@ -97,30 +92,29 @@
 }
 
 const (
-	// minMeasured is the number of requests, older ones counting for less, from which
-	// on the part of them that was in time says something.
+	// minMeasured is the number of requests, weighted by age, from which on the fraction
+	// served in time is used.
 	minMeasured = 20
-	// maxCorrection bounds what lateness adds to a demand that was reckoned: cuts and
-	// lost members make requests late as well.
+	// maxCorrection bounds the correction for lateness, since failures and lost members make
+	// requests late as well.
 	maxCorrection = 1.8
-	// minInTime keeps the reverse of the curve within what it is for.
+	// minInTime bounds the argument of the inverse.
 	minInTime = 0.3
 )
 
-// inverseServed is the reverse of served: how many times the demand the groups are that serve
-// a part of it in time.
+// inverseServed is the inverse of servedFraction: the ratio of groups to demand at which a
+// fraction of it is served in time.
 func inverseServed(inTime float64) float64 {
 	inTime = min(0.99, max(minInTime, inTime))
 	return inTime / math.Pow(1-math.Pow(inTime, servedExponent), 1.0/servedExponent)
 }
 
-// servedExponent sets how sharply the bend is between groups that lack work and
-// groups that lack time. Groups are seldom loaded alike, so some are full long
-// before all are.
+// servedExponent sets how sharp the bend of servedFraction is. Groups are loaded unevenly, so
+// some are full long before all are.
 const servedExponent = 3
 
-// value is the part of the work that is served in time, by estimate, after a
-// change of the endpoints at work on each model here.
+// value estimates the fraction of the work served in time after a change of the endpoints of
+// each model in this data centre.
 func (s *situation) value(change map[string]float64) float64 {
 	value := 0.0
 	for _, m := range s.engine.Models {
@@ -134,8 +128,8 @@
 	return value
 }
 
-// groupsOf is how many groups of a model this data centre has or is forming;
-// those across domains count for less.
+// groupsOf is the number of groups of a model that this data centre has or is forming; those
+// across domains count for less.
 func (s *situation) groupsOf(m serving.Model) float64 {
 	endpoints := 0.0
 	for _, models := range s.inUse {
@@ -144,11 +138,9 @@
 	return endpoints / float64(m.Size)
 }
 
-// servedFraction is the part of a demand that a number of groups serves in time: all of
-// it with many groups, and what they have time for with few. Its slope only
-// falls, so of two models that lack groups the one that lacks more comes first:
-// with a curve that is flat at both ends a plan gave up the model that was worse
-// off (docs/DECISIONS.md, round F).
+// servedFraction estimates the fraction of a demand that a number of groups serves in time. It
+// is concave, so that of two models the one that lacks more groups gains more from the next
+// one.
 func servedFraction(demand, groups float64) float64 {
 	if groups <= 0 {
 		return 0
@@ -157,16 +149,14 @@
 	return ratio / math.Pow(1+math.Pow(ratio, servedExponent), 1.0/servedExponent)
 }
 
-// gainOf is what a change is worth.
+// gainOf returns the change in value.
 func (s *situation) gainOf(change map[string]float64) float64 {
 	return s.value(change) - s.value(nil)
 }
 
-// changeCost is what is lost when endpoints change from a model to another: an
-// endpoint that was in a group of the other model needs a load to go back. The
-// change is that of the endpoints at work. Without it nine groups of four were two
-// after 25 seconds: each that lost a member left its others to groups of two, which
-// were half empty.
+// changeCost is the cost of changing endpoints of one model to another, which need a load to
+// change back. change has the endpoints in use. Without this cost, groups that lost a member
+// would lose the remaining ones to other models.
 func (s *situation) changeCost(change map[string]float64, from serving.Model, endpoints int) float64 {
 	after := map[string]float64{from.Name: float64(from.Size)}
 	for name, n := range change {
@@ -176,8 +166,8 @@
 	return s.weights.ModelChange * recovered * float64(endpoints) / float64(from.Size)
 }
 
-// isWorthwhile reports whether a group is worth more than what its members could do for
-// the groups that they come from.
+// isWorthwhile reports whether the gain of a group exceeds what its members could contribute
+// to groups of their last models.
 func (s *situation) isWorthwhile(f formation) bool {
 	change := map[string]float64{f.model.Name: float64(f.model.Size)}
 	cost := 0.0
@@ -198,8 +188,7 @@
 	return s.gainOf(change) >= cost
 }
 
-// couldForm reports whether a domain has, beside the groups of a model, all
-// endpoints but one that another group of it takes.
+// couldForm reports whether a domain has all endpoints but one for another group of a model.
 func (s *situation) couldForm(model serving.Model, domain string) bool {
 	n := s.countWarm(model, domain, s.free) + s.countWarm(model, domain, s.soonFree)
 	for _, g := range s.groups {
--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -60,10 +60,10 @@
 }
 
 func TestExplainShowsWhatWasBelievedOfTheEndpointsMet(t *testing.T) {
-	text := `time=2026-01-01T00:00:01.000Z level=WARN msg="groups: an endpoint counts as dead" endpoint=i-1 why="it did not answer twice"
+	text := `time=2026-01-01T00:00:01.000Z level=WARN msg="groups: marked endpoint as dead" endpoint=i-1 why="no response to two probes"
   2.5 edge-1 time=2026-01-01T00:00:02.000Z level=INFO msg="relay: an attempt failed" request=r1 endpoint=i-1 group=g1 what="no answer" error="the request may have run"
-time=2026-01-01T00:00:01.500Z level=INFO msg="groups: dissolves a group" group=g1 epoch=3
-time=2026-01-01T00:00:01.600Z level=INFO msg="groups: dissolves a group" group=g2 epoch=3
+time=2026-01-01T00:00:01.500Z level=INFO msg="groups: started dissolving a group" group=g1 epoch=3
+time=2026-01-01T00:00:01.600Z level=INFO msg="groups: started dissolving a group" group=g2 epoch=3
 not a line of a log
 time=2026-01-01T00:00:02.100Z level=INFO msg="relay: a request was not served" request=r1 outcome=failed cause="retry budget used up"
 time=2026-01-01T00:00:02.100Z level=INFO msg="relay: a request was not served" request=r2 outcome=failed cause=deadline
@@ -77,8 +77,8 @@
 		texts = append(texts, l.Source+" "+l.Text)
 	}
 	require.Equal(t, []string{
-		"file an endpoint counts as dead",
-		"file dissolves a group",
+		"file marked endpoint as dead",
+		"file started dissolving a group",
 		"2.5 edge-1 an attempt failed",
 		"file a request was not served",
 	}, texts)
