--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -13,16 +13,16 @@
 
 var start = time.Unix(1000, 0)
 
-func machine(self string) *Machine {
+func newMachine(self string) *Machine {
 	return New(Options{Self: self, TTL: ttl, RenewInterval: time.Second, Guard: time.Second})
 }
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// acquired returns a machine that acquired an absent row at the start.
-func acquired(t *testing.T) *Machine {
+// newHolder returns a machine that has acquired an absent row.
+func newHolder(t *testing.T) *Machine {
 	t.Helper()
-	m := machine("a")
+	m := newMachine("a")
 	require.Equal(t, ActionRead, m.Next(start).Kind)
 	m.ReadDone(start, Row{}, 0)
 	action := m.Next(at(time.Second))
@@ -32,15 +32,15 @@
 	return m
 }
 
-func TestHoldEndsOnItsOwnClock(t *testing.T) {
-	m := acquired(t)
+func TestMachine_ExpiresByItsOwnClock(t *testing.T) {
+	m := newHolder(t)
 	for _, c := range []struct {
 		at   time.Duration
 		want bool
 	}{
 		{time.Second, true},
 		{time.Second + ttl - time.Second - 1, true},
-		// The guard before the others' limit: the holder stops first.
+		// The holder stops one guard before others may acquire the lease.
 		{time.Second + ttl - time.Second, false},
 		{time.Hour, false},
 	} {
@@ -49,11 +49,11 @@
 	}
 }
 
-func TestRenewalCountsFromTheAsking(t *testing.T) {
-	m := acquired(t)
+func TestMachine_RenewalCountsFromRequest(t *testing.T) {
+	m := newHolder(t)
 	action := m.Next(at(2 * time.Second))
 	require.Equal(t, ActionRenew, action.Kind)
-	// The answer comes 2 s after the asking, which buys nothing.
+	// The response arrives 2 s after the request, which does not extend the lease.
 	m.WriteDone(at(2*time.Second), action.Row, 2, true)
 	_, held := m.Held(at(5*time.Second - 1))
 	assert.True(t, held)
@@ -61,12 +61,12 @@
 	assert.False(t, held)
 }
 
-func TestOthersWaitForTheRowToRest(t *testing.T) {
-	m := machine("b")
+func TestMachine_WaitsUntilRowIsUnchangedForTTL(t *testing.T) {
+	m := newMachine("b")
 	m.Next(start)
 	m.ReadDone(start, Row{Epoch: 3, Holder: "a", Renewals: 1}, 7)
 	assert.Equal(t, ActionRead, m.Next(at(3*time.Second)).Kind)
-	// The holder has renewed: the wait begins anew.
+	// The holder has renewed, so the TTL starts again.
 	m.ReadDone(at(3*time.Second), Row{Epoch: 3, Holder: "a", Renewals: 2}, 8)
 	assert.Equal(t, ActionRead, m.Next(at(5*time.Second)).Kind)
 	m.ReadDone(at(5*time.Second), Row{Epoch: 3, Holder: "a", Renewals: 2}, 8)
@@ -74,15 +74,15 @@
 	assert.Equal(t, Action{Kind: ActionAcquire, Row: Row{Epoch: 4, Holder: "b"}, Version: 8}, action)
 }
 
-func TestReleasedIsTakenAtOnce(t *testing.T) {
-	m := machine("b")
+func TestMachine_AcquiresReleasedLeaseAtOnce(t *testing.T) {
+	m := newMachine("b")
 	m.Next(start)
 	m.ReadDone(start, Row{Epoch: 3, Holder: "a", Released: true}, 9)
 	assert.Equal(t, ActionAcquire, m.Next(at(time.Second)).Kind)
 }
 
-func TestLostRaceIsNoHold(t *testing.T) {
-	m := acquired(t)
+func TestMachine_ConflictingRenewalLosesLease(t *testing.T) {
+	m := newHolder(t)
 	action := m.Next(at(2 * time.Second))
 	m.WriteDone(at(2*time.Second), action.Row, 0, false)
 	_, held := m.Held(at(2 * time.Second))
@@ -90,18 +90,18 @@
 	assert.Equal(t, ActionRead, m.Next(at(2*time.Second)).Kind)
 }
 
-// A node that restarts under its old name reads its own name in the row; that
-// was an earlier life, and is no hold.
-func TestOwnNameFromAnEarlierLife(t *testing.T) {
-	m := machine("a")
+// Guards against a node that takes the row of an earlier incarnation of the same name for its
+// own lease.
+func TestMachine_IgnoresRowOfEarlierIncarnation(t *testing.T) {
+	m := newMachine("a")
 	m.Next(start)
 	m.ReadDone(start, Row{Epoch: 5, Holder: "a"}, 4)
 	_, held := m.Held(start)
 	assert.False(t, held)
 }
 
-func TestRelease(t *testing.T) {
-	m := acquired(t)
+func TestMachine_Release(t *testing.T) {
+	m := newHolder(t)
 	action, held := m.Release(at(2 * time.Second))
 	require.True(t, held)
 	assert.True(t, action.Row.Released)
@@ -109,7 +109,7 @@
 	assert.False(t, held)
 }
 
-func TestAHolderThatSpeaksKeepsTheLeaseFromLapsing(t *testing.T) {
+func TestMachine_ObserveHolderPreventsExpiry(t *testing.T) {
 	start := time.Unix(0, 0)
 	m := New(Options{Self: "b", TTL: time.Second, RenewInterval: 100 * time.Millisecond, Guard: 100 * time.Millisecond})
 	require.Equal(t, ActionRead, m.Next(start).Kind)
@@ -125,11 +125,11 @@
 	require.Equal(t, ActionAcquire, m.Next(last.Add(1100*time.Millisecond)).Kind)
 }
 
-// All nodes lose power at once and start again: the holder's own next life need
-// not wait for the lease of the last one. For two seconds nobody controlled a data centre.
-func TestTheNextLifeOfTheHolderTakesOverAtOnce(t *testing.T) {
+// Guards against a data centre without a controller after a power failure of all nodes: the
+// holder's next incarnation must not wait for its predecessor's lease to expire.
+func TestMachine_ReplacesEarlierIncarnationAtOnce(t *testing.T) {
 	held := Row{Epoch: 7, Holder: "node/first", Renewals: 3}
-	earlier := func(self string) func(string) bool {
+	isEarlier := func(self string) func(string) bool {
 		return func(holder string) bool { return holder != self && strings.HasPrefix(holder, "node/") }
 	}
 	for _, c := range []struct {
@@ -142,7 +142,7 @@
 	} {
 		m := New(Options{Self: c.self, TTL: ttl, RenewInterval: time.Second, Guard: time.Second})
 		if strings.HasPrefix(c.self, "node/") {
-			m.options.IsEarlierIncarnation = earlier(c.self)
+			m.options.IsEarlierIncarnation = isEarlier(c.self)
 		}
 		require.Equal(t, ActionRead, m.Next(start).Kind)
 		m.ReadDone(at(time.Millisecond), held, 11)
@@ -155,28 +155,28 @@
 	}
 }
 
-// A holder that the table does not answer goes on for the time allowed, and
-// ends at once when it hears of another.
-func TestAHolderGoesOnWhileTheTableDoesNotAnswer(t *testing.T) {
+// A holder keeps its lease for the outage extension while the table does not respond, and
+// steps down at once when another node holds it.
+func TestMachine_HoldsPastExpiryDuringOutage(t *testing.T) {
 	held := func(m *Machine, after time.Duration) bool {
 		_, held := m.Held(at(after))
 		return held
 	}
 	for _, c := range []struct {
-		name    string
-		outage  time.Duration
-		failing bool
-		want    bool
+		name        string
+		extension   time.Duration
+		unavailable bool
+		want        bool
 	}{
-		{"without an allowance", 0, true, false},
-		{"while the table does not answer", time.Minute, true, true},
-		// A process that was frozen has not failed to renew: it has not tried.
-		{"without a try", time.Minute, false, false},
+		{"without an extension", 0, true, false},
+		{"while the table does not respond", time.Minute, true, true},
+		// A suspended process has not tried to renew, so its lease is not extended.
+		{"without an attempt to renew", time.Minute, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := acquired(t)
-			m.options.OutageExtension = c.outage
-			if c.failing {
+			m := newHolder(t)
+			m.options.OutageExtension = c.extension
+			if c.unavailable {
 				require.Equal(t, ActionRenew, m.Next(at(2*time.Second)).Kind)
 				m.StoreUnavailable()
 			}
@@ -185,20 +185,20 @@
 			assert.False(t, held(m, 2*time.Hour))
 		})
 	}
-	m := acquired(t)
+	m := newHolder(t)
 	m.options.OutageExtension = time.Minute
 	m.Next(at(2 * time.Second))
 	m.StoreUnavailable()
 	m.StepDown(at(3 * time.Second))
-	assert.True(t, held(m, 3*time.Second), "the lease itself still runs")
+	assert.True(t, held(m, 3*time.Second), "the lease has not expired yet")
 	m.StepDown(at(30 * time.Second))
 	assert.False(t, held(m, 30*time.Second))
 	require.Equal(t, ActionRead, m.Next(at(31*time.Second)).Kind)
 }
 
-// The table answers again, and another node has the lease.
-func TestAHoldPastTheLeaseEndsWithARefusedRenewal(t *testing.T) {
-	m := acquired(t)
+// The table responds again, and another node has the lease.
+func TestMachine_ConflictEndsHoldPastExpiry(t *testing.T) {
+	m := newHolder(t)
 	m.options.OutageExtension = time.Minute
 	m.Next(at(2 * time.Second))
 	m.StoreUnavailable()
@@ -209,10 +209,10 @@
 	assert.False(t, held)
 }
 
-// A former holder that read another's row, and then finds the table out, holds
-// nothing over.
-func TestAFormerHolderHoldsNothingOver(t *testing.T) {
-	m := acquired(t)
+// A former holder that has read another node's row must not hold the lease past expiry when
+// the table then becomes unavailable.
+func TestMachine_FormerHolderDoesNotHoldPastExpiry(t *testing.T) {
+	m := newHolder(t)
 	m.options.OutageExtension = time.Minute
 	m.ReadDone(at(6*time.Second), Row{Epoch: 2, Holder: "b"}, 2)
 	m.StoreUnavailable()
@@ -220,27 +220,26 @@
 	assert.False(t, m.StepDown(at(7*time.Second)))
 }
 
-// The table comes back from an older copy, whose row may name this life, another or nobody. No
-// epoch that anybody has had is given again, and what this life held is held on no word of the
-// copy's.
-func TestAnOlderCopyGivesNoEpochAgain(t *testing.T) {
+// Guards against reuse of an epoch after the table is restored from an older copy, whose row
+// may name this incarnation, another node or nobody.
+func TestMachine_NeverReusesEpochAfterRestore(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		row     Row
-		version uint64
-		raise   uint64
-		kind    ActionKind
-		epoch   uint64
+		name     string
+		row      Row
+		version  uint64
+		observed uint64
+		kind     ActionKind
+		epoch    uint64
 	}{
-		{"its row is gone", Row{}, 0, 0, ActionAcquire, 2},
-		{"its row is gone, and others had later epochs", Row{}, 0, 9, ActionAcquire, 10},
-		{"an earlier row of this life", Row{Epoch: 1, Holder: "a", Renewals: 1}, 3, 0, ActionAcquire, 2},
-		{"a row of another, which may live", Row{Epoch: 1, Holder: "b"}, 3, 0, ActionNone, 0},
-		{"a row that was given up", Row{Epoch: 1, Holder: "b", Released: true}, 3, 5, ActionAcquire, 6},
+		{"the row is missing", Row{}, 0, 0, ActionAcquire, 2},
+		{"the row is missing and others had later epochs", Row{}, 0, 9, ActionAcquire, 10},
+		{"an earlier row of this incarnation", Row{Epoch: 1, Holder: "a", Renewals: 1}, 3, 0, ActionAcquire, 2},
+		{"a row of another node that may be alive", Row{Epoch: 1, Holder: "b"}, 3, 0, ActionNone, 0},
+		{"a released row", Row{Epoch: 1, Holder: "b", Released: true}, 3, 5, ActionAcquire, 6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := acquired(t)
-			m.ObserveEpoch(c.raise)
+			m := newHolder(t)
+			m.ObserveEpoch(c.observed)
 			m.Abandon()
 			_, held := m.Held(at(2 * time.Second))
 			require.False(t, held)
