--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet holds the plain types that the coordination parts share:
-// instances, replica groups and what an endpoint reports about itself.
+// Package fleet has the plain types that the coordination packages share: instances, replica
+// groups and the reports of endpoints.
 //
-// The types carry no behaviour beyond small pure helpers, so that every part
-// can be read and tested without the others.
+// The types have no behaviour beyond small pure helpers, so that each package can be read and
+// tested by itself.
 package fleet
 
 import (
@@ -10,31 +10,30 @@
 	"time"
 )
 
-// InstanceID names an instance; it is unique across data centres.
+// InstanceID identifies an instance across all data centres.
 type InstanceID string
 
-// GroupID names a replica group; it is never used again after the group ends.
+// GroupID identifies a replica group; it is never reused.
 type GroupID string
 
-// DataCentre names a data centre.
+// DataCentre is the name of a data centre.
 type DataCentre string
 
-// Kind tells what runs on an endpoint.
+// Kind is what runs on an endpoint.
 type Kind uint8
 
 // The kinds of endpoint.
 const (
 	KindEngine Kind = iota
 	KindService
-	// KindEntry is an entry instance of the system itself; its address is
-	// the one that peers call.
+	// KindEntry is an entry instance of the system itself; peers call its address.
 	KindEntry
 )
 
 // Role is the work that a replica group does for its model.
 type Role string
 
-// RoleMixed is prefill and decode in one group, the only role served so far.
+// RoleMixed is prefill and decode in one group, the only supported role.
 const RoleMixed Role = "mixed"
 
 // Instance is one row of the platform's instance list.
@@ -47,17 +46,16 @@
 	Address string `json:"address"`
 	Kind    Kind   `json:"kind"`
 	// Service names the plain service that a KindService instance runs.
-	Service string `json:"service,omitempty"`
-	// Accelerators is the number of accelerators on the instance.
-	Accelerators int `json:"accelerators"`
+	Service      string `json:"service,omitempty"`
+	Accelerators int    `json:"accelerators"`
 	// Draining is set by the platform before it removes the instance.
 	Draining bool `json:"leaving,omitempty"`
-	// ChecksFences tells whether the endpoint refuses orders with a lower
-	// fence than it has seen.
+	// ChecksFences reports whether the endpoint rejects orders with a lower fencing token than
+	// it has seen.
 	ChecksFences bool `json:"checks_fences"`
 }
 
-// Phase is how far an endpoint has come with its last order.
+// Phase is the progress of an endpoint with its last order.
 type Phase uint8
 
 // The phases of an endpoint.
@@ -82,7 +80,7 @@
 	}
 }
 
-// Fence orders the commands to one endpoint. A higher fence wins.
+// Fence is the fencing token of orders to one endpoint; the higher one takes precedence.
 type Fence struct {
 	Epoch      uint64 `json:"epoch"`
 	Generation uint64 `json:"generation"`
@@ -96,12 +94,12 @@
 	return f.Generation < other.Generation
 }
 
-// Report is what an endpoint last said about itself.
+// Report is the last state that an endpoint reported.
 type Report struct {
 	Instance InstanceID `json:"instance"`
 	// Incarnation changes whenever the process behind the endpoint starts.
 	Incarnation uint64 `json:"incarnation"`
-	// Version rises with every change within one incarnation.
+	// Version is incremented by every change within one incarnation.
 	Version    uint64  `json:"version"`
 	Phase      Phase   `json:"phase"`
 	Group      GroupID `json:"group,omitempty"`
@@ -111,12 +109,12 @@
 	Weights string `json:"weights,omitempty"`
 	// Slots is how many requests the endpoint runs at once.
 	Slots int `json:"slots,omitempty"`
-	// Load is the number of requests running or queued; it lags.
+	// Load is the number of requests that run or are queued; it lags.
 	Load int `json:"load,omitempty"`
 }
 
 // EqualExceptLoad reports whether two reports are equal apart from the load and the version,
-// which rises with it.
+// which changes with it.
 func (r Report) EqualExceptLoad(other Report) bool {
 	r.Load, r.Version = other.Load, other.Version
 	return r == other
@@ -147,13 +145,13 @@
 	Role    Role   `json:"role"`
 	// Epoch is the lease epoch of the controller that last changed the group.
 	Epoch uint64 `json:"epoch"`
-	// Generation rises with every change of members; orders carry it.
+	// Generation is incremented by every change of members; orders carry it.
 	Generation uint64 `json:"generation"`
 	// Members are in rank order; callers' requests go to the first.
 	Members []Member `json:"members"`
-	// Draining groups take no new requests and end when they are empty.
+	// Draining groups accept no new requests and are dissolved when they are empty.
 	Draining bool `json:"draining,omitempty"`
-	// Deleted marks a tombstone, which is kept so that peers learn of the deletion.
+	// Deleted marks a tombstone, which is kept so that peers receive the deletion.
 	Deleted bool `json:"gone,omitempty"`
 	// Revision is the data centre's group revision of the last change.
 	Revision uint64 `json:"revision"`
@@ -161,7 +159,7 @@
 	Since time.Time `json:"since"`
 }
 
-// Fence returns the fence that orders for the group carry.
+// Fence returns the fencing token that orders for the group carry.
 func (g Group) Fence() Fence {
 	return Fence{Epoch: g.Epoch, Generation: g.Generation}
 }
@@ -179,8 +177,8 @@
 	return slices.ContainsFunc(g.Members, func(m Member) bool { return m.Instance == id })
 }
 
-// Matches reports whether a report shows the member serving its place in
-// the group: same incarnation, same generation, weights ready, not leaving.
+// Matches reports whether a report shows the member serving in the group: same incarnation,
+// same group and generation, and ready.
 func (g Group) Matches(m Member, r Report) bool {
 	return r.Incarnation == m.Incarnation &&
 		r.Phase == PhaseReady &&
--- a/pkg/fleet/groups.go
+++ b/pkg/fleet/groups.go
@@ -2,12 +2,12 @@
 
 import "sort"
 
-// Groups holds the newest known replica groups of one data centre. It never
-// goes back to an older state of a group.
+// Groups has the newest known replica groups of one data centre. It never replaces a group by
+// an older state.
 type Groups struct {
 	revision uint64
-	// floor is the revision up to which tombstones have been dropped; a node
-	// that is behind it needs everything.
+	// floor is the revision up to which tombstones have been dropped; a node with a lower
+	// revision needs a full snapshot.
 	floor  uint64
 	groups map[GroupID]Group
 }
@@ -17,16 +17,16 @@
 	return &Groups{groups: map[GroupID]Group{}}
 }
 
-// Revision returns the revision that is held.
+// Revision returns the current revision.
 func (s *Groups) Revision() uint64 { return s.revision }
 
-// Get returns a group; a tombstone is not returned.
+// Get returns a group, but not a tombstone.
 func (s *Groups) Get(id GroupID) (Group, bool) {
 	g, ok := s.groups[id]
 	return g, ok && !g.Deleted
 }
 
-// All returns the groups that have not ended, by id.
+// All returns the groups that are not deleted, by id.
 func (s *Groups) All() []Group {
 	out := make([]Group, 0, len(s.groups))
 	for _, g := range s.groups {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// GroupsDelta is every group that changed after Since, up to To.
+// GroupsDelta has every group that changed after Since, up to To.
 type GroupsDelta struct {
 	Since  uint64  `json:"since"`
 	To     uint64  `json:"to"`
@@ -49,10 +49,10 @@
 
 // DeltaSince returns what a node at an older revision lacks.
 func (s *Groups) DeltaSince(since uint64) GroupsDelta {
-	whole := since < s.floor
-	d := GroupsDelta{Since: since, To: s.revision, Full: whole}
+	full := since < s.floor
+	d := GroupsDelta{Since: since, To: s.revision, Full: full}
 	for _, g := range s.groups {
-		if whole || g.Revision > since {
+		if full || g.Revision > since {
 			d.Groups = append(d.Groups, g)
 		}
 	}
@@ -60,8 +60,8 @@
 	return d
 }
 
-// Apply takes a delta. It returns false, and changes nothing, when the delta
-// would leave a gap or brings nothing newer.
+// Apply applies a delta. It returns false and changes nothing if the delta would leave a gap
+// or is not newer.
 func (s *Groups) Apply(d GroupsDelta) bool {
 	if d.To <= s.revision || !d.Full && d.Since > s.revision {
 		return false
@@ -92,7 +92,7 @@
 	s.floor = max(s.floor, d.To)
 }
 
-// DropTombstones forgets groups that ended at or before a revision.
+// DropTombstones drops the tombstones up to a revision.
 func (s *Groups) DropTombstones(upTo uint64) {
 	for id, g := range s.groups {
 		if g.Deleted && g.Revision <= upTo {
--- a/pkg/fleet/groups_test.go
+++ b/pkg/fleet/groups_test.go
@@ -10,7 +10,7 @@
 	return GroupsDelta{Since: since, To: to, Groups: groups}
 }
 
-func TestGroupsNeverGoBack(t *testing.T) {
+func TestGroups_NeverApplyOlderState(t *testing.T) {
 	s := NewGroups()
 	assert.True(t, s.Apply(delta(0, 2, Group{ID: "a", Revision: 2, Generation: 2})))
 	assert.False(t, s.Apply(delta(0, 1, Group{ID: "a", Revision: 1, Generation: 1})), "older")
@@ -21,9 +21,9 @@
 	assert.Len(t, s.All(), 2)
 }
 
-// A node that has not heard of a group's end gets everything once the end is
-// forgotten, and then drops the group as well.
-func TestForgottenEnd(t *testing.T) {
+// Guards against a deleted group that stays on a node which missed the deletion before its
+// tombstone was dropped.
+func TestGroups_SendSnapshotAfterDroppedTombstone(t *testing.T) {
 	s, behind := NewGroups(), NewGroups()
 	s.Apply(delta(0, 1, Group{ID: "a", Revision: 1}))
 	behind.Apply(s.DeltaSince(0))
