--- a/pkg/placement/grow.go
+++ b/pkg/placement/grow.go
@@ -8,9 +8,9 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// grow forms groups for templates that are short. The template that is
-// shortest for its weight comes first, and is looked for anew after each
-// group, so that scarce instances are spread.
+// grow forms groups for templates that are below their target. The template with the highest
+// weighted deficit comes first and is determined again after each group, so that scarce
+// instances are shared.
 func (s *step) grow() {
 	blocked := map[string]bool{}
 	for {
@@ -18,11 +18,11 @@
 		if !ok {
 			return
 		}
-		if s.form(d, "the template wants it") {
+		if s.form(d, "the template is below its target") {
 			continue
 		}
 		blocked[d.Template] = true
-		s.makeRoom(d)
+		s.drainForRoom(d)
 	}
 }
 
@@ -42,13 +42,12 @@
 	return best, highest > 0
 }
 
-// form starts a group in the domain where it fits best: the one that needs
-// the fewest loads, then the one with the fewest free instances, so that
-// large holes stay whole.
+// form starts a group in the domain that needs the fewest loads, and among equals in the one
+// with the fewest free instances, so that large domains stay available for large groups.
 func (s *step) form(d Demand, reason string) bool {
 	domains := append([]string(nil), s.domains...)
 	sort.SliceStable(domains, func(i, j int) bool {
-		a, b := s.coldOf(domains[i], d), s.coldOf(domains[j], d)
+		a, b := s.loadsNeeded(domains[i], d), s.loadsNeeded(domains[j], d)
 		if a != b {
 			return a < b
 		}
@@ -65,12 +64,12 @@
 	return false
 }
 
-// coldOf is the number of loads that a group of the demand would need in a
-// domain; a domain that is too small counts as all cold.
-func (s *step) coldOf(domain string, d Demand) int {
+// loadsNeeded is the number of loads that a group of the demand would need in a domain.
+// Instances that a small domain lacks count as loads.
+func (s *step) loadsNeeded(domain string, d Demand) int {
 	warm := 0
 	for _, in := range s.free[domain] {
-		if !loads(in, d.Weights) {
+		if !needsLoad(in, d.Weights) {
 			warm++
 		}
 	}
@@ -89,16 +88,16 @@
 		g.Members = append(g.Members, member(in))
 		g.DataCentre = in.DataCentre
 	}
-	// The name is only unique within this step; the caller replaces it by
-	// one made of the epoch and generation that the group is committed with.
+	// The name is unique only within this step; the caller replaces it by one derived from the
+	// epoch and generation that the group is committed with.
 	g.ID = fleet.GroupID(fmt.Sprintf("new-%d", len(s.actions)))
 	s.groups = append(s.groups, &groupState{Group: g, changed: true})
 	s.add(Action{Kind: ActionForm, Group: g, Reason: reason})
 }
 
-// makeRoom drains a surplus group of another template for one that is short
-// and has no room. One drain at a time is enough: the next step sees it.
-func (s *step) makeRoom(d Demand) {
+// drainForRoom drains a surplus group of another template for one that is below its target and
+// has no room. One drain at a time suffices, since the next step takes it into account.
+func (s *step) drainForRoom(d Demand) {
 	var chosen *groupState
 	for _, g := range s.groups {
 		if g.ended || g.Template == d.Template || !s.fits(g.Domain, d) {
@@ -115,11 +114,11 @@
 		}
 	}
 	if chosen != nil {
-		s.drain(chosen, "template "+d.Template+" is short")
+		s.drain(chosen, "template "+d.Template+" is below its target")
 	}
 }
 
-// fits reports whether a domain is large enough for the demand at all.
+// fits reports whether a domain is large enough for the demand.
 func (s *step) fits(domain string, d Demand) bool {
 	n := 0
 	for _, in := range s.instances {
@@ -130,19 +129,19 @@
 	return n >= d.Size
 }
 
-// roll replaces groups of an older version, one at a time for each template:
-// a new group first where there is room, so that no capacity is lost.
+// roll replaces groups of an older version, one at a time for each template. Where there is
+// room the new group is formed first, so that no capacity is lost.
 func (s *step) roll() {
 	for _, d := range s.demands {
 		stale := s.staleGroup(d)
-		if stale == nil || s.rolling(d) {
+		if stale == nil || s.isRolling(d) {
 			continue
 		}
 		if s.count(d.Template) > d.target() {
-			s.drain(stale, "a newer version serves")
+			s.drain(stale, "a newer version is serving")
 			continue
 		}
-		if s.form(d, "it brings the new version") {
+		if s.form(d, "rollout of a new version") {
 			continue
 		}
 		s.drain(stale, "the new version needs its instances")
@@ -159,24 +158,24 @@
 	return nil
 }
 
-// rolling reports whether a change of the template's groups is under way.
-func (s *step) rolling(d Demand) bool {
+// isRolling reports whether a change of the template's groups is in progress.
+func (s *step) isRolling(d Demand) bool {
 	for _, g := range s.groups {
 		if g.Template != d.Template || g.ended {
 			continue
 		}
-		if g.Draining || !s.settled(g) {
+		if g.Draining || !s.isSettled(g) {
 			return true
 		}
 	}
 	return false
 }
 
-// settled reports whether a group has been serving for long enough that every
-// entry instance has seen it. The controller sees it first; if it drained
-// another group at once, some entry instances would be left with none.
-func (s *step) settled(g *groupState) bool {
-	since, ok := s.p.whole[g.ID]
+// isSettled reports whether a group has been serving for long enough that every entry instance
+// has seen it. The controller sees it first; if it drained another group at once, some entry
+// instances would be left without any.
+func (s *step) isSettled(g *groupState) bool {
+	since, ok := s.p.servingSince[g.ID]
 	return ok && s.v.Now.Sub(since) >= s.p.options.Settle
 }
 
@@ -190,35 +189,35 @@
 	return true
 }
 
-// shrink drains one group of each template that has had more than it wants
-// for a while, unless the objective says that the surplus should serve.
+// shrink drains one group of each template that has been above its target for a while, unless
+// keeping the surplus is worthwhile.
 func (s *step) shrink() {
 	for _, d := range s.demands {
 		if s.count(d.Template) <= d.target() {
-			delete(s.p.surplus, d.Template)
+			delete(s.p.surplusSince, d.Template)
 			continue
 		}
-		since, ok := s.p.surplus[d.Template]
+		since, ok := s.p.surplusSince[d.Template]
 		if !ok {
-			s.p.surplus[d.Template] = s.v.Now
+			s.p.surplusSince[d.Template] = s.v.Now
 			continue
 		}
-		if s.v.Now.Sub(since) < s.p.options.ShrinkAfter || s.rolling(d) {
+		if s.v.Now.Sub(since) < s.p.options.ShrinkAfter || s.isRolling(d) {
 			continue
 		}
 		g := s.lastGroup(d.Template)
-		if g != nil && !s.surplusPays(d, g.Domain, g) {
-			s.drain(g, "fewer groups are wanted")
+		if g != nil && !s.surplusIsWorthwhile(d, g.Domain, g) {
+			s.drain(g, "the template is above its target")
 		}
 	}
 	s.drainOrphans()
 }
 
-// drainOrphans drains the groups of templates that ask for none any more.
+// drainOrphans drains the groups of templates without a demand.
 func (s *step) drainOrphans() {
 	for _, g := range s.groups {
 		if _, ok := s.demand(g.Template); !ok && !g.ended && !g.Draining {
-			s.drain(g, "its template is gone")
+			s.drain(g, "its template has no demand")
 		}
 	}
 }
@@ -235,17 +234,15 @@
 
 const minutesPerHour = 60
 
-// surplusPays weighs one more serving group against its instances as idle
-// spares of the domain. Serving, they strand nothing, but a repair must
-// drain them first; idle, they strand for as long as nothing fails. The group
-// itself is left out of what its instances would protect: counted in, a group
-// that was formed in an empty domain would be drained at once, and formed
-// again after that.
-func (s *step) surplusPays(d Demand, domain string, itself *groupState) bool {
+// surplusIsWorthwhile compares one more serving group with its instances as idle spares of the
+// domain. A serving group strands no accelerators, but a repair must drain it first; idle
+// spares are stranded until a failure. The instances of the excluded group don't count as
+// protected: otherwise a group in an empty domain would be drained and formed again in turn.
+func (s *step) surplusIsWorthwhile(d Demand, domain string, excluded *groupState) bool {
 	protected := 0
 	accelerators := 0
 	for _, g := range s.groups {
-		if g == itself || g.Domain != domain || g.ended {
+		if g == excluded || g.Domain != domain || g.ended {
 			continue
 		}
 		protected += len(g.Members)
@@ -261,10 +258,9 @@
 	return gain > cost
 }
 
-// useSurplus forms further groups from instances that would stay idle, where
-// that pays. The template with the highest weight for stranded accelerators
-// takes them. Nothing is formed while a template is short or rolling: the
-// instances would be wanted back at once.
+// useSurplus forms further groups from idle instances where that is worthwhile, starting with
+// the template that has the highest weight for stranded accelerators. It does nothing while a
+// template is below its target or rolling, which would need the instances soon.
 func (s *step) useSurplus() {
 	for _, d := range s.demands {
 		if s.count(d.Template) < d.target() || s.staleGroup(d) != nil {
@@ -286,7 +282,7 @@
 }
 
 func (s *step) fillDomain(d Demand, domain string) {
-	for len(s.free[domain]) >= d.Size && s.surplusPays(d, domain, nil) {
+	for len(s.free[domain]) >= d.Size && s.surplusIsWorthwhile(d, domain, nil) {
 		taken, ok := s.pick(domain, d.Weights, d.Size)
 		if !ok {
 			return
@@ -295,31 +291,30 @@
 	}
 }
 
-// preload loads weights on idle instances next to groups that they could
-// repair, so that a repair needs no load. It runs last: loads that callers
-// wait for come first in the budget.
+// preload loads weights on idle instances that could repair a group of their domain, so that a
+// repair needs no load. It runs last, because other loads take precedence in the budget.
 func (s *step) preload() {
 	for _, domain := range s.domains {
-		weights := s.heaviestIn(domain)
+		weights := s.heaviestWeights(domain)
 		if weights == "" {
 			continue
 		}
 		for _, in := range s.free[domain] {
-			if in.Report.Phase != fleet.PhaseIdle || in.Report.Group != "" || !loads(in, weights) {
+			if in.Report.Phase != fleet.PhaseIdle || in.Report.Group != "" || !needsLoad(in, weights) {
 				continue
 			}
 			if s.loading+1 > s.p.options.LoadBudget {
 				return
 			}
 			s.loading++
-			s.add(Action{Kind: ActionPreload, Instance: in.ID, Weights: weights, Reason: "it is a spare"})
+			s.add(Action{Kind: ActionPreload, Instance: in.ID, Weights: weights, Reason: "spare instance"})
 		}
 	}
 }
 
-// heaviestIn returns the weights of the domain's group that weighs downtime
-// most, the most frequent first among equals.
-func (s *step) heaviestIn(domain string) string {
+// heaviestWeights returns the weights with the highest sum of downtime weights over the
+// domain's groups.
+func (s *step) heaviestWeights(domain string) string {
 	sums := map[string]float64{}
 	for _, g := range s.groups {
 		if g.Domain == domain && !g.ended && !g.Draining {
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,14 +1,13 @@
-// Package placement decides which instances form each replica group of a
-// data centre, and when groups are repaired, grown, rolled or ended.
+// Package placement decides which instances form each replica group of a data centre, and when
+// groups are repaired, added, rolled or dissolved.
 //
-// Planner.Step turns one view of the data centre into a list of actions. The
-// caller commits each action in a transaction that checks every instance row
-// again, so a stale view wastes a step but never breaks a promise.
+// Planner.Step turns one view of the data centre into a list of actions. The caller commits
+// each action in a transaction that checks every instance row again, so a stale view wastes a
+// step but is otherwise harmless.
 //
-// The order of a step is the order of need: repair what callers miss now,
-// grow what is short, roll versions, then use or keep what is left over. One
-// objective weighs group downtime against stranded accelerators with the two
-// weights of the template.
+// A step proceeds by urgency: it repairs groups, forms missing groups, rolls versions, and
+// then uses or keeps the remaining instances. One objective weighs group downtime against
+// stranded accelerators with the two weights of the template.
 //
 // Planner is pure: it has no clock, goroutine, socket or random source.
 package placement
@@ -23,19 +22,19 @@
 // Instance is one endpoint as the planner sees it.
 type Instance struct {
 	fleet.Instance
-	// Fresh tells whether Report is backed by evidence that has not expired.
+	// Fresh reports whether the evidence for Report has not expired.
 	Fresh  bool
 	Report fleet.Report
 }
 
-// Demand is what one template asks of the data centre.
+// Demand is what one template needs in the data centre.
 type Demand struct {
 	Template string
 	Weights  string
 	Role     fleet.Role
 	Size     int
-	// Want is the number of groups wanted now, and Soon the number wanted
-	// when a group that is started now would be ready.
+	// Want is the number of groups needed now, and Soon the number needed when a group that is
+	// started now would be ready.
 	Want           int
 	Soon           int
 	WeightDowntime float64
@@ -45,7 +44,7 @@
 // target is the number of groups to have or to be building now.
 func (d Demand) target() int { return max(d.Want, d.Soon) }
 
-// View is everything that a step depends on.
+// View is the input of a step.
 type View struct {
 	Now       time.Time
 	Instances []Instance
@@ -55,20 +54,19 @@
 
 // Options of a Planner.
 type Options struct {
-	// LostGrace is how long a member may be without evidence before its
-	// place is given to another instance. A shorter pause costs less than a
-	// load of weights.
+	// LostGrace is how long a member may be without evidence before another instance replaces
+	// it. A shorter pause costs less than a load of weights.
 	LostGrace time.Duration
-	// WarmGrace is the same where a spare has the weights in memory already,
-	// so that the change costs next to nothing.
+	// WarmGrace is the grace where a spare already has the weights in memory, so that
+	// replacing the member is cheap.
 	WarmGrace time.Duration
-	// RestartGrace is how long a group without a replacement waits for its
-	// own member to come back before its survivors are used elsewhere.
+	// RestartGrace is how long a group without a replacement waits for its member to restart
+	// before the remaining members are used elsewhere.
 	RestartGrace time.Duration
-	// Settle is the least time that a group drains, so that every entry
-	// instance has heard of it before the group is taken apart.
+	// Settle is the minimum time that a group drains, so that every entry instance has seen it
+	// before the group is dissolved.
 	Settle time.Duration
-	// ShrinkAfter is how long a group must have been surplus to be drained.
+	// ShrinkAfter is how long a template must have surplus groups before one is drained.
 	ShrinkAfter time.Duration
 	// LoadBudget is how many instances may load weights at once.
 	LoadBudget int
@@ -76,12 +74,11 @@
 	LoadTime time.Duration
 	// DrainTime is the expected time until a draining group is empty.
 	DrainTime time.Duration
-	// FailuresPerHour is the expected rate of failures and restarts of one
-	// instance.
+	// FailuresPerHour is the expected rate of failures and restarts of one instance.
 	FailuresPerHour float64
 }
 
-// DefaultOptions returns options for today's deployments.
+// DefaultOptions returns the default options.
 func DefaultOptions() Options {
 	return Options{
 		LostGrace:       2 * time.Second,
@@ -96,32 +93,32 @@
 	}
 }
 
-// ActionKind is what an action does.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
 // The kinds of action.
 const (
 	// ActionForm starts a new group.
 	ActionForm ActionKind = iota
-	// ActionRepair gives a group new members for those it lost.
+	// ActionRepair replaces the missing members of a group.
 	ActionRepair
 	// ActionDrain stops new requests to a group.
 	ActionDrain
 	// ActionResume lets a draining group serve again.
 	ActionResume
-	// ActionEnd takes a group apart.
+	// ActionEnd dissolves a group.
 	ActionEnd
 	// ActionPreload loads weights on a spare instance.
 	ActionPreload
 )
 
-// String names the kind in lower case for logs.
+// String returns the kind in lower case for logs.
 func (k ActionKind) String() string {
 	return [...]string{"form", "repair", "drain", "resume", "end", "preload"}[k]
 }
 
-// Action is one decision. Group is the whole group as it should become; the
-// caller fills in epoch, generation and revision.
+// Action is one decision. Group is the complete group after the action; the caller fills in
+// epoch, generation and revision.
 type Action struct {
 	Kind  ActionKind
 	Group fleet.Group
@@ -132,41 +129,41 @@
 	Reason string
 }
 
-// Planner holds what must be remembered between steps.
+// Planner keeps the state between steps.
 type Planner struct {
 	options Options
-	// lost is since when an instance has had no evidence.
-	lost map[fleet.InstanceID]time.Time
-	// surplus is since when a template has had more groups than it wants.
-	surplus map[string]time.Time
-	// drained is since when a group has been draining.
-	drained map[fleet.GroupID]time.Time
-	// broken is since when a group has lacked a member.
-	broken map[fleet.GroupID]time.Time
-	// whole is since when a group has been serving without a break.
-	whole map[fleet.GroupID]time.Time
+	// staleSince is when the evidence for an instance expired.
+	staleSince map[fleet.InstanceID]time.Time
+	// surplusSince is when a template began to exceed its target.
+	surplusSince map[string]time.Time
+	// drainingSince is when a group began to drain.
+	drainingSince map[fleet.GroupID]time.Time
+	// brokenSince is when a group lost a member.
+	brokenSince map[fleet.GroupID]time.Time
+	// servingSince is when a group began to serve without interruption.
+	servingSince map[fleet.GroupID]time.Time
 }
 
-// New returns a planner with nothing to remember.
+// New returns a planner without state.
 func New(options Options) *Planner {
 	return &Planner{
-		options: options,
-		lost:    map[fleet.InstanceID]time.Time{},
-		surplus: map[string]time.Time{},
-		drained: map[fleet.GroupID]time.Time{},
-		broken:  map[fleet.GroupID]time.Time{},
-		whole:   map[fleet.GroupID]time.Time{},
+		options:       options,
+		staleSince:    map[fleet.InstanceID]time.Time{},
+		surplusSince:  map[string]time.Time{},
+		drainingSince: map[fleet.GroupID]time.Time{},
+		brokenSince:   map[fleet.GroupID]time.Time{},
+		servingSince:  map[fleet.GroupID]time.Time{},
 	}
 }
 
-// Step decides what to do about one view.
+// Step returns the actions for one view.
 func (p *Planner) Step(v View) []Action {
 	s := newStep(p, v)
-	s.trackLost()
+	s.trackStale()
 	s.classify()
-	s.endDrained()
+	s.endDrainedGroups()
 	s.repair()
-	s.replaceLeaving()
+	s.drainForDrainingMembers()
 	s.grow()
 	s.roll()
 	s.shrink()
@@ -180,27 +177,27 @@
 	p         *Planner
 	v         View
 	instances map[fleet.InstanceID]*Instance
-	// free lists the instances of each domain that no group has and that
-	// nothing in this step has taken yet.
+	// free lists the instances of each domain that are in no group and not yet used in this
+	// step.
 	free    map[string][]*Instance
 	domains []string
 	groups  []*groupState
 	demands []Demand
-	// loading counts the loads under way, those of this step included.
+	// loading counts the loads in flight, including those started in this step.
 	loading int
 	actions []Action
 }
 
-// groupState is a group with what this step found out about it.
+// groupState is a group with its state in this step.
 type groupState struct {
 	fleet.Group
-	// missing are the members whose place has to be given to another.
+	// missing are the members that must be replaced.
 	missing []fleet.InstanceID
-	// pausing are the members without evidence that still have their grace.
-	pausing int
-	leaving bool
-	ended   bool
-	changed bool
+	// inGrace is the number of members without evidence whose grace has not passed.
+	inGrace        int
+	memberDraining bool
+	ended          bool
+	changed        bool
 }
 
 func newStep(p *Planner, v View) *step {
@@ -237,34 +234,34 @@
 	if in.Fresh && in.Report.Phase == fleet.PhaseLoading {
 		s.loading++
 	}
-	if !owned[in.ID] && in.Fresh && !in.leaving() {
+	if !owned[in.ID] && in.Fresh && !in.isDraining() {
 		s.free[in.Domain] = append(s.free[in.Domain], in)
 	}
 }
 
-func (in *Instance) leaving() bool {
+func (in *Instance) isDraining() bool {
 	return in.Draining || in.Fresh && in.Report.Draining
 }
 
-// trackLost notes since when each instance has had no evidence.
-func (s *step) trackLost() {
+// trackStale records when the evidence for each instance expired.
+func (s *step) trackStale() {
 	for id, in := range s.instances {
 		if in.Fresh {
-			delete(s.p.lost, id)
+			delete(s.p.staleSince, id)
 			continue
 		}
-		if _, ok := s.p.lost[id]; !ok {
-			s.p.lost[id] = s.v.Now
+		if _, ok := s.p.staleSince[id]; !ok {
+			s.p.staleSince[id] = s.v.Now
 		}
 	}
-	for id := range s.p.lost {
+	for id := range s.p.staleSince {
 		if s.instances[id] == nil {
-			delete(s.p.lost, id)
+			delete(s.p.staleSince, id)
 		}
 	}
 }
 
-// classify finds out which members of each group are missing or leaving.
+// classify determines which members of each group are missing or draining.
 func (s *step) classify() {
 	present := map[fleet.GroupID]bool{}
 	for _, g := range s.groups {
@@ -272,11 +269,11 @@
 		for _, m := range g.Members {
 			s.classifyMember(g, m)
 		}
-		note(s.p.broken, g.ID, len(g.missing) > 0, s.v.Now)
-		note(s.p.drained, g.ID, g.Draining, s.v.Now)
-		note(s.p.whole, g.ID, s.serving(g), s.v.Now)
+		trackSince(s.p.brokenSince, g.ID, len(g.missing) > 0, s.v.Now)
+		trackSince(s.p.drainingSince, g.ID, g.Draining, s.v.Now)
+		trackSince(s.p.servingSince, g.ID, s.serving(g), s.v.Now)
 	}
-	for _, since := range []map[fleet.GroupID]time.Time{s.p.broken, s.p.drained, s.p.whole} {
+	for _, since := range []map[fleet.GroupID]time.Time{s.p.brokenSince, s.p.drainingSince, s.p.servingSince} {
 		for id := range since {
 			if !present[id] {
 				delete(since, id)
@@ -285,9 +282,10 @@
 	}
 }
 
-// note keeps since when something has been so.
-func note(since map[fleet.GroupID]time.Time, id fleet.GroupID, so bool, now time.Time) {
-	if !so {
+// trackSince records when a condition of a group became true, and clears the record while it
+// is false.
+func trackSince(since map[fleet.GroupID]time.Time, id fleet.GroupID, active bool, now time.Time) {
+	if !active {
 		delete(since, id)
 		return
 	}
@@ -300,25 +298,24 @@
 	in := s.instances[m.Instance]
 	switch {
 	case in == nil:
-		// The platform no longer lists it. The list lags, but it never
-		// forgets an instance that is there.
+		// The platform's list lags, but it never omits a running instance.
 		g.missing = append(g.missing, m.Instance)
 	case in.Fresh && in.Report.Incarnation != m.Incarnation:
-		// It restarted: its part of the model is gone.
+		// It restarted and lost its part of the model.
 		g.missing = append(g.missing, m.Instance)
-	case !in.Fresh && s.v.Now.Sub(s.p.lost[m.Instance]) >= s.grace(g):
+	case !in.Fresh && s.v.Now.Sub(s.p.staleSince[m.Instance]) >= s.grace(g):
 		g.missing = append(g.missing, m.Instance)
 	case !in.Fresh:
-		g.pausing++
-	case in.leaving():
-		g.leaving = true
+		g.inGrace++
+	case in.isDraining():
+		g.memberDraining = true
 	}
 }
 
 // grace is how long a member of a group may be without evidence.
 func (s *step) grace(g *groupState) time.Duration {
 	for _, in := range s.free[g.Domain] {
-		if !loads(in, g.Weights) {
+		if !needsLoad(in, g.Weights) {
 			return s.p.options.WarmGrace
 		}
 	}
@@ -327,36 +324,36 @@
 
 func (s *step) add(a Action) { s.actions = append(s.actions, a) }
 
-// endDrained takes apart draining groups that are empty.
-func (s *step) endDrained() {
+// endDrainedGroups dissolves draining groups that are empty.
+func (s *step) endDrainedGroups() {
 	for _, g := range s.groups {
 		if !g.Draining || g.ended {
 			continue
 		}
-		if s.v.Now.Sub(s.p.drained[g.ID]) < s.p.options.Settle {
+		if s.v.Now.Sub(s.p.drainingSince[g.ID]) < s.p.options.Settle {
 			continue
 		}
-		if len(g.missing) > 0 || s.empty(g) {
-			s.end(g, "it is drained")
+		if len(g.missing) > 0 || s.isIdle(g) {
+			s.end(g, "it has drained")
 		}
 	}
 }
 
-// empty reports whether the leader says that nothing runs there. Without
-// evidence nothing is known, and the group is left alone.
-func (s *step) empty(g *groupState) bool {
+// isIdle reports whether the leader has no requests. Without evidence the group is assumed to
+// be busy.
+func (s *step) isIdle(g *groupState) bool {
 	in := s.instances[g.Leader()]
 	return in != nil && in.Fresh && in.Report.Load == 0
 }
 
-// end takes a group apart and returns its living members to the free list.
+// end dissolves a group and returns its live members to the free list.
 func (s *step) end(g *groupState, reason string) {
 	g.ended = true
 	g.changed = true
 	s.add(Action{Kind: ActionEnd, Group: g.Group, Reason: reason})
 	for _, m := range g.Members {
 		in := s.instances[m.Instance]
-		if in != nil && in.Fresh && !in.leaving() {
+		if in != nil && in.Fresh && !in.isDraining() {
 			s.free[in.Domain] = append(s.free[in.Domain], in)
 		}
 	}
@@ -383,35 +380,34 @@
 	return Demand{}, false
 }
 
-// loads reports whether putting the instance to work for the weights needs a
-// load from the weight store.
-func loads(in *Instance, weights string) bool {
+// needsLoad reports whether the instance must load the weights from the weight store.
+func needsLoad(in *Instance, weights string) bool {
 	return in.Report.Weights != weights
 }
 
-// budget reports whether so many more loads may start. A single group larger
-// than the whole budget may load when nothing else does.
-func (s *step) budget(more int) bool {
+// withinBudget reports whether a number of further loads may start. A group larger than the
+// whole budget may load if nothing else does.
+func (s *step) withinBudget(more int) bool {
 	return more == 0 || s.loading == 0 || s.loading+more <= s.p.options.LoadBudget
 }
 
-// pick takes count instances from a domain's free list, those that need no
-// load first. It takes nothing when there are too few.
+// pick takes count instances from a domain's free list, preferring those that need no load. It
+// takes none if there are too few.
 func (s *step) pick(domain, weights string, count int) ([]*Instance, bool) {
 	list := s.free[domain]
 	if len(list) < count {
 		return nil, false
 	}
 	sort.SliceStable(list, func(i, j int) bool {
-		return !loads(list[i], weights) && loads(list[j], weights)
+		return !needsLoad(list[i], weights) && needsLoad(list[j], weights)
 	})
 	needed := 0
 	for _, in := range list[:count] {
-		if loads(in, weights) {
+		if needsLoad(in, weights) {
 			needed++
 		}
 	}
-	if !s.budget(needed) {
+	if !s.withinBudget(needed) {
 		return nil, false
 	}
 	s.loading += needed
--- a/pkg/placement/repair.go
+++ b/pkg/placement/repair.go
@@ -6,22 +6,22 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// repair gives broken groups new members, the heaviest template first. A
-// repair keeps the survivors, whose weights stay in memory.
+// repair replaces the missing members of broken groups, the heaviest template first. The
+// remaining members are kept, with their weights in memory.
 func (s *step) repair() {
 	broken := s.brokenGroups()
 	for _, g := range broken {
 		if g.ended {
 			continue
 		}
-		if g.Draining || !s.wanted(g) {
+		if g.Draining || !s.isNeeded(g) {
 			s.end(g, "it lost a member and is not needed")
 			continue
 		}
 		if s.repairInPlace(g) {
 			continue
 		}
-		s.repairFrom(g, broken)
+		s.reclaimForRepair(g, broken)
 	}
 }
 
@@ -37,7 +37,7 @@
 		if a != b {
 			return a > b
 		}
-		// The group that lacks least is whole again first.
+		// Groups with fewer missing members come first.
 		return len(out[i].missing) < len(out[j].missing)
 	})
 	return out
@@ -48,9 +48,8 @@
 	return d.WeightDowntime
 }
 
-// wanted reports whether the template still wants the group: without it,
-// fewer groups would be left than the target.
-func (s *step) wanted(g *groupState) bool {
+// isNeeded reports whether the template needs the group to reach its target.
+func (s *step) isNeeded(g *groupState) bool {
 	d, ok := s.demand(g.Template)
 	if !ok || g.Weights != d.Weights || len(g.Members) != d.Size {
 		return false
@@ -58,7 +57,7 @@
 	return s.count(g.Template) <= d.target()
 }
 
-// count is the number of groups of a template that stay.
+// count is the number of groups of a template that are not draining or dissolved.
 func (s *step) count(template string) int {
 	n := 0
 	for _, g := range s.groups {
@@ -69,14 +68,14 @@
 	return n
 }
 
-// repairInPlace replaces the missing members by free instances of the same
-// fabric domain. An instance that restarted is free for its own old place.
+// repairInPlace replaces the missing members by free instances of the same fabric domain. An
+// instance that restarted may replace its own earlier incarnation.
 func (s *step) repairInPlace(g *groupState) bool {
-	returned := s.returnedMembers(g)
-	s.free[g.Domain] = append(s.free[g.Domain], returned...)
+	restarted := s.restartedMembers(g)
+	s.free[g.Domain] = append(s.free[g.Domain], restarted...)
 	taken, ok := s.pick(g.Domain, g.Weights, len(g.missing))
 	if !ok {
-		s.removeFree(g.Domain, returned)
+		s.removeFree(g.Domain, restarted)
 		return false
 	}
 	group := g.Group
@@ -88,8 +87,8 @@
 			next++
 		}
 	}
-	// A restarted member that was not picked for its old place stays free:
-	// the action releases the rows of all members that it drops.
+	// A restarted member that was not picked stays free: the action releases the rows of all
+	// members that it removes.
 	g.Group = group
 	g.missing = nil
 	g.changed = true
@@ -97,23 +96,22 @@
 	return true
 }
 
-// returnedMembers lists the missing members that are back with a new
-// incarnation and may take a place again.
-func (s *step) returnedMembers(g *groupState) []*Instance {
+// restartedMembers returns the missing members that run again as a new incarnation.
+func (s *step) restartedMembers(g *groupState) []*Instance {
 	var out []*Instance
 	for _, id := range g.missing {
 		in := s.instances[id]
-		if in != nil && in.Fresh && !in.leaving() {
+		if in != nil && in.Fresh && !in.isDraining() {
 			out = append(out, in)
 		}
 	}
 	return out
 }
 
-func (s *step) removeFree(domain string, gone []*Instance) {
+func (s *step) removeFree(domain string, removed []*Instance) {
 	var kept []*Instance
 	for _, in := range s.free[domain] {
-		if !containsInstance(gone, in) {
+		if !containsInstance(removed, in) {
 			kept = append(kept, in)
 		}
 	}
@@ -138,11 +136,11 @@
 	return false
 }
 
-// repairFrom finds members for a group whose domain has none free: first
-// from another broken group of the domain, which serves nobody anyway, then
-// by draining a surplus group. Where nothing helps, and its member has not
-// come back for long, the group is moved to a domain that has room.
-func (s *step) repairFrom(g *groupState, broken []*groupState) {
+// reclaimForRepair finds instances for a group whose domain has no free ones: first from
+// another broken group of the domain, which serves no requests anyway, then by draining a
+// surplus group. If neither helps and the member has not restarted within the grace, the group
+// is dissolved in favour of a domain that has room.
+func (s *step) reclaimForRepair(g *groupState, broken []*groupState) {
 	for i := len(broken) - 1; i >= 0; i-- {
 		donor := broken[i]
 		if donor == g || donor.ended || donor.Domain != g.Domain || len(donor.missing) == 0 {
@@ -151,23 +149,22 @@
 		if len(donor.Members)-len(donor.missing) < len(g.missing) {
 			continue
 		}
-		s.end(donor, "its survivors repair group "+string(g.ID))
+		s.end(donor, "its remaining members repair group "+string(g.ID))
 		s.repairInPlace(g)
 		return
 	}
 	if s.drainSurplusIn(g.Domain) {
 		return
 	}
-	if s.v.Now.Sub(s.p.broken[g.ID]) < s.p.options.RestartGrace {
+	if s.v.Now.Sub(s.p.brokenSince[g.ID]) < s.p.options.RestartGrace {
 		return
 	}
-	if s.roomElsewhere(g) {
-		s.end(g, "its domain has no replacement and another has room")
+	if s.hasRoomElsewhere(g) {
+		s.end(g, "its domain has no replacement and another domain has room")
 	}
 }
 
-// drainSurplusIn drains a group of the domain that its template does not
-// need, unless one is draining already.
+// drainSurplusIn drains a surplus group of the domain, unless one is draining already.
 func (s *step) drainSurplusIn(domain string) bool {
 	var chosen *groupState
 	for _, g := range s.groups {
@@ -199,11 +196,11 @@
 func (s *step) drain(g *groupState, reason string) {
 	g.Draining = true
 	g.changed = true
-	s.p.drained[g.ID] = s.v.Now
+	s.p.drainingSince[g.ID] = s.v.Now
 	s.add(Action{Kind: ActionDrain, Group: g.Group, Reason: reason})
 }
 
-func (s *step) roomElsewhere(g *groupState) bool {
+func (s *step) hasRoomElsewhere(g *groupState) bool {
 	for _, domain := range s.domains {
 		if domain != g.Domain && len(s.free[domain]) >= len(g.Members) {
 			return true
@@ -212,14 +209,14 @@
 	return false
 }
 
-// replaceLeaving drains groups that have a leaving member, so that nothing in
-// progress is cut. The platform takes the instance away soon, so none waits; a
-// draining group no longer counts, and grow builds its successor in this step.
-func (s *step) replaceLeaving() {
+// drainForDrainingMembers drains groups with a draining member, so that their requests can
+// finish. The platform removes the instance soon; a draining group no longer counts, and grow
+// forms its replacement in the same step.
+func (s *step) drainForDrainingMembers() {
 	for _, g := range s.groups {
-		if !g.leaving || g.ended || g.Draining || g.changed || len(g.missing) > 0 {
+		if !g.memberDraining || g.ended || g.Draining || g.changed || len(g.missing) > 0 {
 			continue
 		}
-		s.drain(g, "a member is leaving")
+		s.drain(g, "a member is draining")
 	}
 }
