--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -235,9 +235,9 @@
 
 // member returns the member with a rank in an open group of a model.
 func (dc *testDataCentre) member(model string, rank int) serving.EndpointID {
-	want := models[0].Size
+	size := models[0].Size
 	if model == "small" {
-		want = models[1].Size
+		size = models[1].Size
 	}
 	groups := map[string][]serving.EndpointID{}
 	for i := range 9 {
@@ -246,7 +246,7 @@
 		}
 	}
 	for _, members := range groups {
-		if len(members) != want {
+		if len(members) != size {
 			continue
 		}
 		for _, e := range members {
@@ -334,8 +334,8 @@
 	dc.awaitOpen(1, 1)
 	stop()
 	dc.startControllerWithStore("n2", staleRows{dc.table, before})
-	taken := dc.fleet.Reports()
-	require.Eventually(t, func() bool { return dc.fleet.Reports() > taken }, timeout, 5*time.Millisecond)
+	reports := dc.fleet.Reports()
+	require.Eventually(t, func() bool { return dc.fleet.Reports() > reports }, timeout, 5*time.Millisecond)
 	// After the first report it has the endpoints' actual state.
 	time.Sleep(time.Second)
 	dc.requireUnbroken()
@@ -505,9 +505,9 @@
 		dc.setSuspects()
 		start := time.Now()
 		require.Eventually(t, func() bool { return dc.fleet.Open()["large"]+dc.fleet.Open()["small"] == 2 }, timeout, 5*time.Millisecond)
-		took := time.Since(start)
-		t.Logf("members of rank %d: all groups open after %s", rank, took)
-		require.Less(t, took, 4*time.Second, "a model loads in 0.5 s; a dead endpoint is excluded for 8 s")
+		elapsed := time.Since(start)
+		t.Logf("members of rank %d: all groups open after %s", rank, elapsed)
+		require.Less(t, elapsed, 4*time.Second, "a model loads in 0.5 s; a dead endpoint is excluded for 8 s")
 		dc.requireUnbroken()
 	}
 }
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -63,8 +63,9 @@
 	// RestartGrace is how long a group without a replacement waits for its member to restart
 	// before the remaining members are used elsewhere.
 	RestartGrace time.Duration
-	// Settle is the minimum time that a group drains, so that every entry instance has seen it
-	// before the group is dissolved.
+	// Settle is how long every entry instance may take to see a change of a group. A group
+	// drains for at least this time before it is dissolved, and serves for at least this time
+	// before another group of its template may be drained.
 	Settle time.Duration
 	// ShrinkAfter is how long a template must have surplus groups before one is drained.
 	ShrinkAfter time.Duration
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -117,7 +117,7 @@
 	return out
 }
 
-// expire expires the evidence for an instance.
+// expire marks the evidence for an instance as expired.
 func (dc *testDataCentre) expire(id fleet.InstanceID) { dc.instance(string(id)).Fresh = false }
 
 func TestStep_FormsGroupsByBestFit(t *testing.T) {
