--- a/internal/groupcontrol/controller.go
+++ b/internal/groupcontrol/controller.go
@@ -14,70 +14,69 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Controller forms, repairs and ends the groups of one data centre while its
-// node holds the lease.
+// Controller forms, repairs and dissolves the replica groups of one data centre while its node
+// holds the lease.
 type Controller struct {
 	options   Options
 	endpoints Endpoints
 	directory *directory.Directory
 	suspects  func() []serving.EndpointID
-	lease     *leaseKeeper
+	lease     *leaseManager
 	log       logging.Logger
-	// wake has an entry when something happened that the plan depends on.
+	// wake requests an early tick.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// busy has the operation that each endpoint is in.
+	// busy maps an endpoint to the operation that it takes part in.
 	busy map[serving.EndpointID]*operation
-	// dead endpoints did not answer lately.
-	dead map[serving.EndpointID]death
-	// probed is when the members of a suspected group were last asked.
-	probed map[string]time.Time
-	// unopened is since when a group has been seen unopened or headless
-	// without an operation on it.
-	unopened map[string]time.Time
-	// standing is since when a group has been seen without fault.
-	standing map[string]time.Time
-	// known is what each endpoint was at a number of orders, where that is
-	// known from the endpoint itself.
-	known map[serving.EndpointID]knownState
-	// taken endpoints said that they are in a group, against their row.
-	taken map[serving.EndpointID]time.Time
+	// dead has the endpoints that failed to respond lately.
+	dead map[serving.EndpointID]deadMark
+	// lastProbe is when the members of a suspect group were last probed.
+	lastProbe map[string]time.Time
+	// unopenedSince is when a group was first seen unopened or without a head while no
+	// operation worked on it.
+	unopenedSince map[string]time.Time
+	// healthySince is when a group was first seen without a fault.
+	healthySince map[string]time.Time
+	// knownStates has the states that the endpoints themselves reported last.
+	knownStates map[serving.EndpointID]knownState
+	// inOtherGroup is when an endpoint reported a group although its row shows none.
+	inOtherGroup map[serving.EndpointID]time.Time
 	// firstSeen is when each endpoint was first listed.
 	firstSeen map[serving.EndpointID]time.Time
-	// staged is what each spare was last told to stage.
-	staged map[serving.EndpointID]stagingOrder
-	// reserved domains, by name.
-	reserved map[string]reservation
-	// takenOver is when groups were last ended for another model.
-	takenOver time.Time
-	epoch     uint64
-	// since is when this hold of the lease began.
-	since    time.Time
-	formed   uint64
-	nextLoad time.Time
-	running  sync.WaitGroup
+	// stagingOrders has the last model that each endpoint was ordered to stage.
+	stagingOrders map[serving.EndpointID]stagingOrder
+	// reservations are keyed by domain.
+	reservations map[string]reservation
+	// lastTakeover is when groups were last dissolved in favour of another model.
+	lastTakeover time.Time
+	epoch        uint64
+	// leaseSince is when this node acquired the lease.
+	leaseSince   time.Time
+	groupsFormed uint64
+	nextLoad     time.Time
+	running      sync.WaitGroup
 }
 
-// New returns a controller that has not started. suspects returns the
-// endpoints that traffic finds silent or failing.
+// New returns a controller that has not started. suspects returns the endpoints that fail or
+// stall according to request traffic.
 func New(o Options, store table.Store, endpoints Endpoints, d *directory.Directory, suspects func() []serving.EndpointID) *Controller {
 	c := &Controller{
 		options:   o,
 		endpoints: endpoints,
 		directory: d,
 		suspects:  suspects,
-		lease:     newLeaseKeeper(store, o),
+		lease:     newLeaseManager(store, o),
 		log:       logging.For("groups").With("data_centre", string(o.DataCentre)),
 		wake:      make(chan struct{}, 1),
 	}
-	c.lease.seenEpoch = c.seenEpoch
+	c.lease.maxSeenEpoch = c.maxSeenEpoch
 	c.reset(0)
 	return c
 }
 
-// seenEpoch is the highest lease epoch that the data centre's endpoints tell of by their groups.
-func (c *Controller) seenEpoch() uint64 {
+// maxSeenEpoch returns the highest lease epoch among the memberships that endpoints report.
+func (c *Controller) maxSeenEpoch() uint64 {
 	highest := uint64(0)
 	for _, e := range c.directory.View().Endpoints {
 		if e.DataCentre == c.options.DataCentre {
@@ -87,51 +86,51 @@
 	return highest
 }
 
-// reset forgets what an earlier hold of the lease knew.
+// reset discards the state of an earlier tenure of the lease.
 func (c *Controller) reset(epoch uint64) {
 	c.epoch = epoch
-	c.since = time.Now()
-	c.formed = 0
+	c.leaseSince = time.Now()
+	c.groupsFormed = 0
 	c.busy = map[serving.EndpointID]*operation{}
-	c.dead = map[serving.EndpointID]death{}
-	c.probed = map[string]time.Time{}
-	c.unopened = map[string]time.Time{}
-	c.standing = map[string]time.Time{}
-	c.known = map[serving.EndpointID]knownState{}
-	c.taken = map[serving.EndpointID]time.Time{}
+	c.dead = map[serving.EndpointID]deadMark{}
+	c.lastProbe = map[string]time.Time{}
+	c.unopenedSince = map[string]time.Time{}
+	c.healthySince = map[string]time.Time{}
+	c.knownStates = map[serving.EndpointID]knownState{}
+	c.inOtherGroup = map[serving.EndpointID]time.Time{}
 	c.firstSeen = map[serving.EndpointID]time.Time{}
-	c.staged = map[serving.EndpointID]stagingOrder{}
-	c.reserved = map[string]reservation{}
+	c.stagingOrders = map[serving.EndpointID]stagingOrder{}
+	c.reservations = map[string]reservation{}
 }
 
 // HoldsLease reports whether this node is the controller now.
 func (c *Controller) HoldsLease() bool { return c.Epoch() != 0 }
 
-// HoldsPastExpiry reports whether this node acts under an expired lease because the store
-// does not answer.
-func (c *Controller) HoldsPastExpiry() bool { return c.lease.holdsOver() }
+// HoldsPastExpiry reports whether this node acts under an expired lease because the store does
+// not respond.
+func (c *Controller) HoldsPastExpiry() bool { return c.lease.heldPastExpiry() }
 
-// Epoch returns the epoch under which this node acts, or zero.
+// Epoch returns the lease epoch under which this node acts, or zero.
 func (c *Controller) Epoch() uint64 {
 	epoch, _ := c.lease.Held()
 	return epoch
 }
 
-// ObserveController records that another node of the data centre acts under an epoch. A
-// later epoch than this node's ends a hold past expiry.
+// ObserveController records the epoch under which another node of the data centre acts. If it
+// is later than this node's epoch, a lease held past expiry is given up.
 func (c *Controller) ObserveController(epoch uint64) {
-	c.lease.heardEpoch(epoch)
+	c.lease.observeEpoch(epoch)
 	if epoch > c.Epoch() {
 		c.lease.stepDown("another node acts under a later epoch")
 	}
 }
 
-// Run acts until the context ends.
+// Run runs the controller until the context is cancelled.
 func (c *Controller) Run(ctx context.Context) {
 	leaseDone := make(chan struct{})
 	go func() {
 		defer close(leaseDone)
-		c.keepLease(ctx)
+		c.runLease(ctx)
 	}()
 	ticker := time.NewTicker(c.options.Tick)
 	defer ticker.Stop()
@@ -144,7 +143,7 @@
 		case <-ticker.C:
 			c.tick(ctx, time.Now())
 		case <-c.wake:
-			// Others that end at the same time are seen together.
+			// Operations that finish at the same time share one tick.
 			if pause(ctx, c.options.Tick/10) == nil {
 				c.tick(ctx, time.Now())
 			}
@@ -152,15 +151,15 @@
 	}
 }
 
-// hurry has the next tick come soon.
-func (c *Controller) hurry() {
+// requestTick makes the next tick run soon.
+func (c *Controller) requestTick() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Controller) keepLease(ctx context.Context) {
+func (c *Controller) runLease(ctx context.Context) {
 	if pause(ctx, c.options.FirstReadDelay) != nil {
 		return
 	}
@@ -176,10 +175,10 @@
 	}
 }
 
-// Release gives up the lease; the controller must have stopped.
+// Release releases the lease; the controller must have stopped.
 func (c *Controller) Release(ctx context.Context) { c.lease.release(ctx) }
 
-// tick looks at the view once and starts the operations that it asks for.
+// tick plans once from the current view and starts the resulting operations.
 func (c *Controller) tick(ctx context.Context, now time.Time) {
 	epoch, held := c.lease.Held()
 	if !held {
@@ -192,10 +191,10 @@
 	}
 	view := c.directory.View()
 	if version, _ := c.directory.TableVersion(); version == 0 || view.Configuration == nil {
-		// What a peer brought of the table is a part of it: groups of which this node
-		// knows some members alone would look as if they had lost the others. Its grace
-		// for rows that lag begins with the whole.
-		c.since = now
+		// Rows that came from a peer are only part of the table: groups would seem to have
+		// lost the members whose rows are missing. The grace for lagging rows starts with the
+		// complete table.
+		c.leaseSince = now
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(view.Configuration.Services)) {
@@ -206,49 +205,49 @@
 	}
 }
 
-// startTakeover ends groups and keeps their members for another.
+// startTakeover dissolves groups and reserves their members' domain for another group.
 func (c *Controller) startTakeover(ctx context.Context, t takeover, now time.Time) {
-	c.reserved[t.domain] = reservation{t.model.Name, now.Add(reservedFor)}
-	if t.crosses() {
-		c.takenOver = now
+	c.reservations[t.domain] = reservation{t.model.Name, now.Add(reservationTTL)}
+	if t.changesModel() {
+		c.lastTakeover = now
 	}
 	for _, g := range t.groups {
 		c.startDissolve(ctx, g, reasonTakeover)
 	}
 }
 
-// startStagings begins loads to hosts, as many as may run at once.
+// startStagings starts model loads up to the limit of concurrent loads.
 func (c *Controller) startStagings(ctx context.Context, s *situation, stagings []staging, now time.Time) {
 	for _, st := range stagings {
-		if len(s.staging) >= c.loadsAtOnce(s.engine) {
+		if len(s.staging) >= c.maxConcurrentLoads(s.engine) {
 			return
 		}
-		if st.lacking == otherLacking && !c.maySpareLoad(s) {
+		if st.priority == secondModelPriority && !c.allowsSecondModelLoad(s) {
 			return
 		}
 		if s.staging[st.endpoint.ID] == "" {
 			s.staging[st.endpoint.ID] = st.model.Name
-			c.startStage(ctx, st, s.engine, now)
+			c.startStaging(ctx, st, s.engine, now)
 		}
 	}
 }
 
-// maySpareLoad reports whether a load may begin that completes no group and
-// makes no spare: only a part of the loads that may run at once, and at the
-// start once all groups are formed.
-func (c *Controller) maySpareLoad(s *situation) bool {
+// allowsSecondModelLoad reports whether an endpoint may load a second model, which neither
+// completes a group nor provides a spare. Such loads get only part of the concurrent loads,
+// and while loads are unpaced they wait until no operation runs.
+func (c *Controller) allowsSecondModelLoad(s *situation) bool {
 	if c.options.Unpaced() {
 		return len(c.busy) == 0
 	}
-	return len(s.staging) < max(1, c.loadsAtOnce(s.engine)/otherLoadsPart)
+	return len(s.staging) < max(1, c.maxConcurrentLoads(s.engine)/secondModelLoadDivisor)
 }
 
-// otherLoadsPart divides the loads at once for those of members of groups.
-const otherLoadsPart = 3
+// secondModelLoadDivisor limits loads of second models to a fraction of the concurrent loads.
+const secondModelLoadDivisor = 3
 
-// loadsAtOnce is how many loads this data centre runs at a time: more would
-// slow each other down, and those of the other data centres.
-func (c *Controller) loadsAtOnce(engine *serving.Engine) int {
+// maxConcurrentLoads returns this data centre's share of the concurrent loads; further loads
+// would slow all of them down.
+func (c *Controller) maxConcurrentLoads(engine *serving.Engine) int {
 	if engine.LoadsAtOnce <= 0 || c.options.Unpaced() {
 		return math.MaxInt
 	}
--- a/internal/groupcontrol/lease_test.go
+++ b/internal/groupcontrol/lease_test.go
@@ -11,50 +11,49 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Sixty nodes that all look at the lease of a silent holder make ninety calls a second. They
-// look in the order of their rank.
-func TestNodesLookAtASilentLeaseInTheirOrder(t *testing.T) {
+// Guards against a burst of reads when the holder falls silent: the nodes must read the lease
+// in the order of their ranks.
+func TestLeaseManager_ReadsInRankOrder(t *testing.T) {
 	const ttl = 3 * time.Second
 	for _, test := range []struct {
 		name string
 		rank int
-		// lives is set while the holder speaks.
-		lives bool
-		// after is the time since the start, looks whether the lease is looked at.
+		// alive is set while the holder is alive.
+		alive bool
+		// after is the time since the start; reads is whether the lease is read.
 		after time.Duration
-		looks bool
+		reads bool
 	}{
-		{"the first at once", 0, false, 0, true},
-		{"nobody while the holder speaks", 0, true, 0, false},
-		{"the third after those before it", 3, false, 2900 * time.Millisecond, false},
-		{"and then it does", 3, false, 3100 * time.Millisecond, true},
+		{"first rank reads at once", 0, false, 0, true},
+		{"no read while the holder is alive", 0, true, 0, false},
+		{"later rank waits", 3, false, 2900 * time.Millisecond, false},
+		{"later rank reads after its delay", 3, false, 3100 * time.Millisecond, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			k := newLeaseKeeper(nil, Options{
+			m := newLeaseManager(nil, Options{
 				Node: "n", LeaseTTL: ttl,
 				Rank:        func() int { return test.rank },
-				HolderAlive: func() bool { return test.lives },
+				HolderAlive: func() bool { return test.alive },
 			})
-			action := k.next(k.began.Add(test.after))
-			require.Equal(t, test.looks, action.Kind != lease.ActionNone)
+			action := m.next(m.startedAt.Add(test.after))
+			require.Equal(t, test.reads, action.Kind != lease.ActionNone)
 		})
 	}
 }
 
-// While a controller is suspended with its machine another takes its lease over. By a clock
-// that stands still meanwhile it would hold the lease once it wakes, and give orders to the
-// endpoints of the other's groups. Found by reading; fails with time.Now as the clock.
-func TestALeaseRunsOutWhileItsHolderIsSuspended(t *testing.T) {
+// Guards against a holder that still acts after its machine was suspended, while another node
+// has acquired the lease. A clock that stops during suspension would not let the lease expire.
+func TestLeaseManager_ExpiresDuringSuspension(t *testing.T) {
 	const ttl = 3 * time.Second
 	store := memtable.New()
 	now := time.Now()
 	clock := func() time.Time { return now }
-	first := newLeaseKeeper(store, Options{Node: "first", LeaseTTL: ttl, Now: clock})
-	second := newLeaseKeeper(store, Options{Node: "second", LeaseTTL: ttl, Now: clock})
-	run := func(d time.Duration, keepers ...*leaseKeeper) {
+	first := newLeaseManager(store, Options{Node: "first", LeaseTTL: ttl, Now: clock})
+	second := newLeaseManager(store, Options{Node: "second", LeaseTTL: ttl, Now: clock})
+	run := func(d time.Duration, managers ...*leaseManager) {
 		for until := now.Add(d); now.Before(until); now = now.Add(ttl / 30) {
-			for _, k := range keepers {
-				k.step(t.Context())
+			for _, m := range managers {
+				m.step(t.Context())
 			}
 		}
 	}
@@ -63,7 +62,7 @@
 	require.True(t, held)
 	run(2*ttl, second)
 	_, held = first.Held()
-	require.False(t, held, "suspended meanwhile")
+	require.False(t, held, "the lease expired during the suspension")
 	later, held := second.Held()
 	require.True(t, held)
 	require.Greater(t, later, epoch)
--- a/internal/groupcontrol/spares.go
+++ b/internal/groupcontrol/spares.go
@@ -7,24 +7,22 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Spares of a domain are free endpoints that hold the model of the largest groups. A
-// group of 32 is lost with any one of its members, and formed again in 0.2 to 1.6 s if
-// there is a spare, else only once members of other groups have loaded its model, which
-// takes 16 s. Without them a domain of 73 keeps one endpoint free beside a group of 32 and
-// five of 8.
+// Spares of a domain are free endpoints that hold the model of the largest groups. A group
+// fails with any one of its members, and without a spare a large group can be formed again
+// only after members of other groups have loaded its model.
 
-// largest returns the model of the largest groups.
+// largest returns the model with the largest groups.
 func (s *situation) largest() serving.Model {
 	return slices.MaxFunc(s.engine.Models, func(a, b serving.Model) int { return cmp.Compare(a.Size, b.Size) })
 }
 
-// sizeOf counts the endpoints of a domain, with those that are free.
-func (s *situation) sizeOf(domain string, free []*serving.Endpoint) float64 {
+// domainSize counts the endpoints of a domain, including free ones.
+func (s *situation) domainSize(domain string, free []*serving.Endpoint) float64 {
 	n := float64(len(free))
-	for _, endpoints := range s.working[domain] {
+	for _, endpoints := range s.inUse[domain] {
 		n += endpoints
 	}
-	for _, e := range s.soon {
+	for _, e := range s.soonFree {
 		if e.Domain == domain {
 			n++
 		}
@@ -32,11 +30,11 @@
 	return n
 }
 
-// spares returns the free endpoints of a domain that are kept for the largest model: first
-// those that hold it, then those that hold nothing.
+// spares returns the free endpoints of a domain that are kept for the largest model,
+// preferring those that hold it and then those that hold nothing.
 func (s *situation) spares(domain string, free []*serving.Endpoint) []*serving.Endpoint {
 	largest := s.largest()
-	size := s.sizeOf(domain, free)
+	size := s.domainSize(domain, free)
 	n := min(len(free), int(s.weights.SpareFraction*size))
 	if n == 0 || size < float64(largest.Size) {
 		return nil
@@ -45,7 +43,7 @@
 		switch {
 		case isWarm(e, largest) || s.staging[e.ID] == largest.Name:
 			return 0
-		case s.holds(e) == "":
+		case s.availableModel(e) == "":
 			return 1
 		}
 		return 2
@@ -59,12 +57,11 @@
 
 // freeFor returns the free endpoints of a domain that a group of a model may use.
 func (s *situation) freeFor(model serving.Model, domain string, free []*serving.Endpoint) []*serving.Endpoint {
-	return s.notKept(model, free, s.spares(domain, free))
+	return s.availableFor(model, free, s.spares(domain, free))
 }
 
-// notKept returns the free endpoints that a group of a model may use beside those kept
-// for the largest model, which may use all.
-func (s *situation) notKept(model serving.Model, free, kept []*serving.Endpoint) []*serving.Endpoint {
+// availableFor excludes the kept endpoints unless the model is the largest one.
+func (s *situation) availableFor(model serving.Model, free, kept []*serving.Endpoint) []*serving.Endpoint {
 	if model.Name == s.largest().Name {
 		return free
 	}
@@ -80,13 +77,13 @@
 	return rest
 }
 
-// stageKept has the spares that are kept hold the largest model.
-func (s *situation) stageKept(kept []*serving.Endpoint) []staging {
+// stageLargest stages the largest model on the kept spares that lack it.
+func (s *situation) stageLargest(kept []*serving.Endpoint) []staging {
 	largest := s.largest()
 	var out []staging
 	for _, e := range kept {
 		if !isWarm(e, largest) && s.staging[e.ID] == "" {
-			out = append(out, staging{e, largest, spareLacking})
+			out = append(out, staging{e, largest, sparePriority})
 		}
 	}
 	return out
