--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -23,8 +23,8 @@
 	resultDone result = iota
 	// resultNotRun: the endpoint certainly did not run it.
 	resultNotRun
-	// resultBroken: it may have run, and the answer is not whole.
-	resultBroken
+	// resultIncomplete: it may have run, and the answer is not whole.
+	resultIncomplete
 	// resultFailed: it ran, and the endpoint says that it failed.
 	resultFailed
 )
@@ -36,10 +36,10 @@
 	now := time.Now()
 	invariant.Check(c.route.Repeatable() || !c.mayHaveRun, invariant.AtMostOnce, "request %s at %s", c.attrs.ID, t.ID)
 	invariant.Check(!t.Draining, invariant.NoNewWork, "request %s at %s", c.attrs.ID, t.ID)
-	flight := c.options.Balancer.begin(t.Endpoint, c.size(), now)
-	flight.head = t.head
-	defer flight.end()
-	stop := c.watch(cancel, flight, t.predicted)
+	active := c.options.Balancer.begin(t.Endpoint, c.size(), now)
+	active.head = t.head
+	defer active.end()
+	stop := c.startStallDetector(cancel, active, t.predicted)
 	defer stop()
 	response, err := c.options.Upstream.Send(ctx, upstream.Request{
 		Address: t.Address,
@@ -48,35 +48,35 @@
 		Host:    c.in.Host,
 		Header: c.options.Wire.Outgoing(c.in.Header, OutgoingAttempt{
 			Endpoint:  t.ID,
-			Remaining: c.left() - wayBack,
+			Remaining: c.remaining() - responseMargin,
 			Workspace: c.workspace,
 			LastEvent: c.lastEvent,
-			Urgent:    c.sends > 0,
+			Urgent:    c.attempts > 0,
 		}),
 		Body:  c.in.Body,
-		Fresh: c.sends > 0 || !c.route.Repeatable() && c.options.Balancer.isFailing(t.Endpoint, now),
+		Fresh: c.attempts > 0 || !c.route.Repeatable() && c.options.Balancer.isFailing(t.Endpoint, now),
 		Gate:  func() error { return c.gate(t) },
 	}, func(h http.Header) bool { return c.options.Wire.Verdict(h).ID == c.attrs.ID })
 	if errors.Is(err, upstream.ErrNotSent) {
-		return c.notSent(ctx, t, err)
+		return c.handleNotSent(ctx, t, err)
 	}
-	c.sends++
+	c.attempts++
 	if err != nil {
 		c.mayHaveRun = true
-		c.recordFailure(ctx, t, flight)
+		c.recordFailure(ctx, t, active)
 		c.logAttempt(t, "no answer", errors.Join(err, context.Cause(ctx)))
-		return c.orEnded(ctx, resultBroken)
+		return c.finishIfDone(ctx, resultIncomplete)
 	}
 	defer response.Close()
-	return c.judge(ctx, t, flight, response)
+	return c.handleResponse(ctx, t, active, response)
 }
 
-// heldError is why a request that had an endpoint was not sent to it.
-type heldError string
+// holdError is why a request that had an endpoint was not sent to it.
+type holdError string
 
-func (e heldError) Error() string { return string(e) }
+func (e holdError) Error() string { return string(e) }
 
-const errQuarantined heldError = "the request is in quarantine"
+const errQuarantined holdError = "the request is in quarantine"
 
 // gate is the last check before a request's first byte. The endpoint may have asked for a
 // cooldown, or said that it leaves, while the request waited for a permit or a connection.
@@ -85,91 +85,91 @@
 	hold := c.options.Throttle.Hold(t.Endpoint, now)
 	if hold == throttle.HoldDraining || hold == throttle.HoldCooldown {
 		c.options.Metrics.Inc("requests_held_back", map[string]string{"by": hold.String()})
-		return heldError("the endpoint is held: " + hold.String())
+		return holdError("the endpoint is held: " + hold.String())
 	}
-	if !c.options.Quarantine.BeginAttempt(c.content, now) {
+	if !c.options.Quarantine.BeginAttempt(c.fingerprint, now) {
 		return errQuarantined
 	}
 	return nil
 }
 
-// notSent handles an attempt of which no byte left: it is not charged to the retry budget, and
+// handleNotSent handles an attempt of which no byte left: it is not charged to the retry budget, and
 // not to the endpoint if the attempt was held back here.
-func (c *call) notSent(ctx context.Context, t target, err error) result {
+func (c *call) handleNotSent(ctx context.Context, t target, err error) result {
 	c.options.Budget.Refund(c.service, c.charge, time.Now())
 	c.charge = Charge{}
-	if held := heldError(""); !errors.As(err, &held) {
+	if held := holdError(""); !errors.As(err, &held) {
 		c.options.Balancer.Suspect(t.ID, time.Now())
 	}
 	c.logAttempt(t, "not sent", err)
-	return c.orEnded(ctx, resultNotRun)
+	return c.finishIfDone(ctx, resultNotRun)
 }
 
 // recordFailure charges a broken attempt to its endpoint, unless the caller, the deadline or
 // the stall detector cancelled it. It also starts a crash probe, since the request itself may
 // have crashed the endpoint.
-func (c *call) recordFailure(ctx context.Context, t target, f *flight) {
+func (c *call) recordFailure(ctx context.Context, t target, active *activeRequest) {
 	now := time.Now()
 	cause := context.Cause(ctx)
 	if cause == nil && now.Before(c.deadline) {
-		f.note(true, now)
+		active.recordOutcome(true, now)
 	}
 	if cause == nil || errors.Is(cause, errStalled) {
-		c.crashProbe = c.crashes.ReportBroken(c.content, quarantine.Incarnation{Endpoint: t.ID, StartedAt: t.StartedAt, Address: t.Address}, f.began, now)
+		c.crashProbe = c.crashes.ReportBroken(c.fingerprint, quarantine.Incarnation{Endpoint: t.ID, StartedAt: t.StartedAt, Address: t.Address}, active.sentAt, now)
 	}
 }
 
-// wayBack is taken off the time that an endpoint is given, for the answer's
+// responseMargin is taken off the time that an endpoint is given, for the answer's
 // way back.
-const wayBack = 10 * time.Millisecond
+const responseMargin = 10 * time.Millisecond
 
-// orEnded answers the request if its own time is over. A connection's deadline
+// finishIfDone answers the request if its own time is over. A connection's deadline
 // is that of the request, and may be noticed before the context's.
-func (c *call) orEnded(ctx context.Context, r result) result {
+func (c *call) finishIfDone(ctx context.Context, r result) result {
 	cause := context.Cause(ctx)
 	switch {
 	case cause == nil && time.Now().Before(c.deadline), errors.Is(cause, errStalled):
 		return r
 	case cause == nil:
-		c.giveUp(refusal{cause: causeDeadline, after: defaultRetryAfter})
+		c.finishUnserved(rejection{cause: causeDeadline, retryAfter: defaultRetryAfter})
 	default:
-		c.ended(ctx)
+		c.handleContextDone(ctx)
 	}
 	return resultDone
 }
 
-// judge reads an answer's head and passes the answer on if it is one.
-func (c *call) judge(ctx context.Context, t target, flight *flight, response *upstream.Response) result {
+// handleResponse reads an answer's head and passes the answer on if it is one.
+func (c *call) handleResponse(ctx context.Context, t target, active *activeRequest, response *upstream.Response) result {
 	verdict := c.options.Wire.Verdict(response.Header)
 	statement := c.options.Wire.Statement(response.Status, response.Header)
-	c.observe(t, verdict, statement, flight, response.Status)
+	c.observe(t, verdict, statement, active, response.Status)
 	if verdict.NotRun || response.Status == http.StatusMisdirectedRequest {
 		return c.handleRejection(t, verdict, statement, response)
 	}
 	c.mayHaveRun = true
 	if !verdict.Signed || response.Header.Get("Content-Encoding") != "" {
-		flight.note(true, time.Now())
+		active.recordOutcome(true, time.Now())
 		c.logAttempt(t, "an answer that is not the endpoint's", fmt.Errorf("status %d", response.Status))
-		return resultBroken
+		return resultIncomplete
 	}
 	if response.Status == http.StatusOK && c.route.Kind == serving.KindStream {
-		return c.passStream(ctx, t, flight, response)
+		return c.relayStream(ctx, t, active, response)
 	}
-	return c.passWhole(ctx, t, flight, response)
+	return c.relayBuffered(ctx, t, active, response)
 }
 
 // observe applies what an answer says of its endpoint. An answer that is neither signed nor
 // says that the request did not run may be anybody's, and a misdirected request may have met
 // another endpoint.
-func (c *call) observe(t target, v Verdict, s advisory.Statement, f *flight, status int) {
+func (c *call) observe(t target, v Verdict, s advisory.Statement, active *activeRequest, status int) {
 	if !v.Signed && !v.NotRun || status == http.StatusMisdirectedRequest {
 		return
 	}
-	c.shed = c.shed || s.Cooldown.Value > 0
+	c.wasShed = c.wasShed || s.Cooldown.Value > 0
 	c.options.Throttle.Observe(advisory.Observation{
 		Endpoint:  t.Incarnation(),
 		Statement: s,
-		Sent:      f.began,
+		Sent:      active.sentAt,
 		Request:   c.attrs.ID,
 	}, time.Now())
 }
@@ -208,51 +208,51 @@
 }
 
 func (c *call) logAttempt(t target, what string, err error) {
-	c.log.Info("an attempt failed", "request", c.attrs.ID, "content", c.content, "endpoint", string(t.ID), "address", t.Address, "group", t.Membership.Group,
+	c.log.Info("an attempt failed", "request", c.attrs.ID, "content", c.fingerprint, "endpoint", string(t.ID), "address", t.Address, "group", t.Membership.Group,
 		"epoch", t.Membership.Epoch, "what", what, "error", err, "events", c.events, "after", time.Since(c.start))
 }
 
 const (
-	// stallCheck is how often an endpoint's silence is looked at.
-	stallCheck = 100 * time.Millisecond
-	// stallSlack is how many times the predicted time an endpoint may take
+	// stallCheckInterval is how often an endpoint's silence is looked at.
+	stallCheckInterval = 100 * time.Millisecond
+	// stallFactor is how many times the predicted time an endpoint may take
 	// before its silence says anything: a full one is not a dead one.
-	stallSlack = 3
+	stallFactor = 3
 )
 
-// quietPatience is how long a stream may get nothing from an endpoint that gives others
+// requestStallAfter is how long a stream may get nothing from an endpoint that gives others
 // their events, before it goes on elsewhere: its own connection may have fallen silent for
 // good without a reset. Callers give a stream up after two seconds and more.
-const quietPatience = 1500 * time.Millisecond
+const requestStallAfter = 1500 * time.Millisecond
 
 // stallAfter is how long an endpoint may be silent on all requests.
 func (c *call) stallAfter(predicted Prediction) time.Duration {
-	return max(c.options.StallAfter, stallSlack*max(predicted.First, predicted.Gap))
+	return max(c.options.StallAfter, stallFactor*max(predicted.First, predicted.Gap))
 }
 
-// watch ends a try at an endpoint that has fallen silent on all of its
+// startStallDetector ends a try at an endpoint that has fallen silent on all of its
 // requests, if the request may go on elsewhere. Silence alone is no ground to
 // end an answer for good.
-func (c *call) watch(cancel context.CancelCauseFunc, f *flight, predicted Prediction) (stop func()) {
-	if c.route.Kind != serving.KindStream || !c.route.Repeatable() || c.sends+1-c.rejections >= c.route.MaxAttempts {
+func (c *call) startStallDetector(cancel context.CancelCauseFunc, active *activeRequest, predicted Prediction) (stop func()) {
+	if c.route.Kind != serving.KindStream || !c.route.Repeatable() || c.attempts+1-c.rejections >= c.route.MaxAttempts {
 		return func() {}
 	}
 	limit := c.stallAfter(predicted)
 	done := make(chan struct{})
 	go func() {
-		ticker := time.NewTicker(stallCheck)
+		ticker := time.NewTicker(stallCheckInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-done:
 				return
 			case now := <-ticker.C:
-				if f.silence(now) > limit {
-					c.options.Balancer.Suspect(f.endpoint, now)
+				if active.endpointSilence(now) > limit {
+					c.options.Balancer.Suspect(active.endpoint, now)
 					cancel(errStalled)
 					return
 				}
-				if f.quiet(now) > max(limit, quietPatience) {
+				if active.requestSilence(now) > max(limit, requestStallAfter) {
 					cancel(errStalled)
 					return
 				}
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -10,9 +10,9 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// suspectFor is how long an endpoint that failed or fell silent is passed over,
+// suspectDuration is how long an endpoint that failed or fell silent is passed over,
 // unless it sends something.
-const suspectFor = 2 * time.Second
+const suspectDuration = 2 * time.Second
 
 // Balancer knows what is under way at each endpoint and chooses among them.
 // It is safe for concurrent use.
@@ -21,27 +21,27 @@
 	mu    sync.Mutex
 	loads map[serving.EndpointID]*load
 	// turn breaks ties, so that equal endpoints take turns.
-	turn    int
-	random  *rand.Rand
-	weights Weights
+	rotation int
+	random   *rand.Rand
+	weights  Weights
 	// suspected is called when an endpoint is newly passed over.
-	suspected func()
+	onSuspect func()
 	// hold tells why an endpoint may be sent nothing now.
 	hold func(e *serving.Endpoint, now time.Time) throttle.Hold
 	// remotes are the other data centres.
-	remotes map[serving.DataCentre]*remote
+	remotes map[serving.DataCentre]*remoteState
 	// told is what other nodes find.
-	told PeerReports
+	peerReports PeerReports
 	// candidates is kept between choices, doubtful are those that only others
 	// found fault with.
-	candidates []candidate
-	doubtful   []candidate
+	candidates    []candidate
+	peerSuspected []candidate
 }
 
 // NewBalancer returns a balancer for a node in a data centre. Nodes must draw
 // differently, so each gives its own source.
 func NewBalancer(home serving.DataCentre, source rand.Source, weights Weights) *Balancer {
-	return &Balancer{home: home, loads: map[serving.EndpointID]*load{}, remotes: map[serving.DataCentre]*remote{}, random: rand.New(source), weights: weights, suspected: func() {},
+	return &Balancer{home: home, loads: map[serving.EndpointID]*load{}, remotes: map[serving.DataCentre]*remoteState{}, random: rand.New(source), weights: weights, onSuspect: func() {},
 		hold: func(*serving.Endpoint, time.Time) throttle.Hold { return throttle.HoldNone }}
 }
 
@@ -60,7 +60,7 @@
 func (b *Balancer) isFailing(e *serving.Endpoint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	tally, _ := b.load(e.ID).found(e.Membership.Epoch, now)
+	tally, _ := b.load(e.ID).observed(e.Membership.Epoch, now)
 	return b.weights.Failures == health.Compare && tally.Failed > minReportedWeight
 }
 
@@ -73,28 +73,28 @@
 	switch {
 	case l == nil:
 		return time.Time{}
-	case l.peers.LastEvent.After(l.event):
+	case l.peers.LastEvent.After(l.lastEvent):
 		return l.peers.LastEvent
 	}
-	return l.event
+	return l.lastEvent
 }
 
 // Suspect has an endpoint passed over for a while.
 func (b *Balancer) Suspect(id serving.EndpointID, now time.Time) {
 	b.mu.Lock()
 	l := b.load(id)
-	fresh := now.After(l.suspectUntil)
-	l.suspectUntil = now.Add(suspectFor)
-	b.noteFailure(l.dataCentre, now)
+	newlySuspected := now.After(l.suspectUntil)
+	l.suspectUntil = now.Add(suspectDuration)
+	b.recordRemoteFailure(l.dataCentre, now)
 	b.mu.Unlock()
-	if fresh {
-		b.suspected()
+	if newlySuspected {
+		b.onSuspect()
 	}
 }
 
 // OnSuspect has a function called when an endpoint is newly passed over. It is
 // set before the balancer is used, and must not wait.
-func (b *Balancer) OnSuspect(f func()) { b.suspected = f }
+func (b *Balancer) OnSuspect(f func()) { b.onSuspect = f }
 
 // SetHold sets what tells why an endpoint may be sent nothing now. It is set before the
 // balancer is used, and must not call it.
@@ -126,7 +126,7 @@
 	for id, l := range b.loads {
 		tally := l.results.Tally(now)
 		if l.running > 0 || tally.Served+tally.Failed > minReportedWeight {
-			out[id] = PeerLoad{Running: l.running, Unread: l.unread, LastEvent: l.event, Epoch: l.epoch, Tally: tally, Pace: l.paces.Pace(now)}
+			out[id] = PeerLoad{Running: l.running, Unread: l.unread, LastEvent: l.lastEvent, Epoch: l.epoch, Tally: tally, Pace: l.paces.Pace(now)}
 		}
 	}
 	return out
@@ -145,11 +145,11 @@
 }
 
 // Forget drops the endpoints that are not listed and have nothing under way.
-func (b *Balancer) Forget(listed map[serving.EndpointID]*serving.Endpoint) {
+func (b *Balancer) Forget(known map[serving.EndpointID]*serving.Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, l := range b.loads {
-		if listed[id] == nil && l.running == 0 {
+		if known[id] == nil && l.running == 0 {
 			delete(b.loads, id)
 		}
 	}
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -80,7 +80,7 @@
 	}
 	require.NotNil(t, b.ChooseHead([]*directory.Head{silent, remote}, RequestSize{Prompt: 100}, nil, false, now).Head, "nothing else is left")
 	flight := b.begin(silent.Endpoint, RequestSize{Prompt: 100}, now)
-	flight.event(now)
+	flight.recordEvent(now)
 	chosen := map[serving.EndpointID]bool{}
 	for range 100 {
 		chosen[b.ChooseHead([]*directory.Head{silent, sound}, RequestSize{Prompt: 100}, nil, false, now).Head.ID] = true
@@ -145,17 +145,17 @@
 	}
 	tries, _ := remoteTries(200)
 	require.Zero(t, tries)
-	now = now.Add(cutRetry + time.Millisecond)
+	now = now.Add(unreachableRetry + time.Millisecond)
 	tries, head := remoteTries(200)
 	require.Equal(t, 1, tries)
 	b.Suspect(head.ID, now)
-	now = now.Add(cutRetry + time.Millisecond)
+	now = now.Add(unreachableRetry + time.Millisecond)
 	tries, _ = remoteTries(200)
 	require.Zero(t, tries, "the second wait is longer")
-	now = now.Add(cutRetry + time.Millisecond)
+	now = now.Add(unreachableRetry + time.Millisecond)
 	tries, head = remoteTries(200)
 	require.Equal(t, 1, tries)
-	b.begin(head.Endpoint, RequestSize{}, now).event(now)
+	b.begin(head.Endpoint, RequestSize{}, now).recordEvent(now)
 	tries, _ = remoteTries(200)
 	require.Greater(t, tries, 50)
 }
@@ -200,7 +200,7 @@
 			heads := []*directory.Head{testHead("a", 1), testHead("b", 2)}
 			for range 6 {
 				f := b.begin(heads[0].Endpoint, RequestSize{Prompt: 100}, now)
-				f.note(true, now)
+				f.recordOutcome(true, now)
 				f.end()
 			}
 			share := shareOf(b, heads, now)
@@ -218,7 +218,7 @@
 	before := testHead("a", 1)
 	for range 6 {
 		f := b.begin(before.Endpoint, RequestSize{}, now)
-		f.note(true, now)
+		f.recordOutcome(true, now)
 		f.end()
 	}
 	b.SetPeerLoads(map[serving.EndpointID]PeerLoad{"a": {Epoch: 1, Tally: health.Tally{Failed: 20}}})
@@ -241,7 +241,7 @@
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	endpoints := []*serving.Endpoint{{ID: "flapping", DataCentre: "north"}, {ID: "sound", DataCentre: "south"}}
 	f := b.begin(endpoints[0], RequestSize{}, now)
-	f.note(true, now)
+	f.recordOutcome(true, now)
 	f.end()
 	for range 10 {
 		chosen, ok := b.ChoosePlain(endpoints, nil, now)
@@ -260,12 +260,12 @@
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	f := b.begin(testHead("a", 1).Endpoint, RequestSize{Prompt: 100}, now)
 	later := now.Add(700 * time.Millisecond)
-	require.Equal(t, 700*time.Millisecond, f.silence(later))
+	require.Equal(t, 700*time.Millisecond, f.endpointSilence(later))
 	b.SetPeerLoads(map[serving.EndpointID]PeerLoad{"a": {Running: 9, LastEvent: later.Add(-30 * time.Millisecond)}})
-	require.Equal(t, 30*time.Millisecond, f.silence(later))
+	require.Equal(t, 30*time.Millisecond, f.endpointSilence(later))
 	require.Equal(t, later.Add(-30*time.Millisecond), b.LastEvent("a"))
-	f.event(later)
-	require.Equal(t, 600*time.Millisecond, f.silence(later.Add(600*time.Millisecond)), "a stream that had begun stops")
+	f.recordEvent(later)
+	require.Equal(t, 600*time.Millisecond, f.endpointSilence(later.Add(600*time.Millisecond)), "a stream that had begun stops")
 }
 
 // Two nodes' words on an endpoint add up; what is of an earlier group is left out.
@@ -284,14 +284,14 @@
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	head := testHead("a", 1).Endpoint
 	silent, sound := b.begin(head, RequestSize{Prompt: 100}, now), b.begin(head, RequestSize{Prompt: 100}, now)
-	silent.event(now)
+	silent.recordEvent(now)
 	for at := now; at.Before(now.Add(2 * time.Second)); at = at.Add(20 * time.Millisecond) {
-		sound.event(at)
+		sound.recordEvent(at)
 	}
 	later := now.Add(2 * time.Second)
-	require.Less(t, silent.silence(later), 100*time.Millisecond, "the head lives")
-	require.Equal(t, 2*time.Second, silent.quiet(later))
-	require.Less(t, quietPatience, 2*time.Second)
+	require.Less(t, silent.endpointSilence(later), 100*time.Millisecond, "the head lives")
+	require.Equal(t, 2*time.Second, silent.requestSilence(later))
+	require.Less(t, requestStallAfter, 2*time.Second)
 }
 
 // Requests of a plain service whose last endpoint is in a data centre that is cut off are
@@ -300,16 +300,16 @@
 	now := time.Now()
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	remote := []*serving.Endpoint{{ID: "p", DataCentre: "south"}}
-	for range cutAfter {
+	for range unreachableAfter {
 		chosen, ok := b.ChoosePlain(remote, nil, now)
 		require.True(t, ok)
 		b.Suspect(chosen.ID, now)
 	}
 	_, ok := b.ChoosePlain(remote, nil, now.Add(time.Second))
 	require.False(t, ok)
-	_, ok = b.ChoosePlain(remote, nil, now.Add(cutRetry+time.Second))
+	_, ok = b.ChoosePlain(remote, nil, now.Add(unreachableRetry+time.Second))
 	require.True(t, ok, "one request tries it")
-	_, ok = b.ChoosePlain(remote, nil, now.Add(cutRetry+time.Second))
+	_, ok = b.ChoosePlain(remote, nil, now.Add(unreachableRetry+time.Second))
 	require.False(t, ok)
 }
 
@@ -323,7 +323,7 @@
 	f.head = heads[0]
 	for range 20 {
 		now = now.Add(400 * time.Millisecond)
-		f.event(now)
+		f.recordEvent(now)
 	}
 	f.end()
 	require.Less(t, shareOf(b, heads, now), 0.1)
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -11,20 +11,20 @@
 const (
 	// budgetBuckets is the number of parts that the budget's window is counted in.
 	budgetBuckets = 10
-	// earnBuckets is for how many of them a request's part of a repeat can be spent, that
+	// earnedTTLBuckets is for how many of them a request's part of a repeat can be spent, that
 	// of the request among them. The more, the more repeats can come at once when many
 	// endpoints fail, and the fewer in the long run (earnShare).
-	earnBuckets = 5
+	earnedTTLBuckets = 5
 	// earnShare is the part of the ratio that a request earns. What is spent in a window
 	// was earned in it or in the earnBuckets before, so this share of all of that is no
 	// more than the whole ratio of the window, at steady traffic.
-	earnShare = float64(budgetBuckets) / (budgetBuckets + earnBuckets)
-	// slackShare is the part of the slack that is spent: nodes that were just added are
+	earnShare = float64(budgetBuckets) / (budgetBuckets + earnedTTLBuckets)
+	// slackFactor is the part of the slack that is spent: nodes that were just added are
 	// counted a little later, and traffic is not steady.
-	slackShare = 0.85
-	// chanceShare times what is left of less than one repeat is the chance of one. All of
+	slackFactor = 0.85
+	// probabilityFactor times what is left of less than one repeat is the chance of one. All of
 	// it would spend the whole allowance in the mean, and more in every other window.
-	chanceShare = 0.8
+	probabilityFactor = 0.8
 )
 
 // Budget limits how often requests are sent once more, for each service. All nodes share
@@ -46,7 +46,7 @@
 	// the time of day may jump.
 	start time.Time
 	// chance returns a number from 0 to 1; nil has parts of a repeat give none.
-	chance func() float64
+	random func() float64
 
 	mu       sync.Mutex
 	nodes    int
@@ -64,15 +64,15 @@
 // budgetBucket is one part of a window.
 type budgetBucket struct {
 	requests int
-	repeats  int
+	retries  int
 	// earned is what is left of the repeats that the requests have earned, slack what
 	// was spent of the slack.
 	earned float64
 	slack  float64
 }
 
-// at returns the bucket of a number. Those before the first are empty ones.
-func (w *budgetWindow) at(number int64) *budgetBucket {
+// bucket returns the bucket of a number. Those before the first are empty ones.
+func (w *budgetWindow) bucket(number int64) *budgetBucket {
 	n := int64(len(w.buckets))
 	return &w.buckets[(number%n+n)%n]
 }
@@ -86,7 +86,7 @@
 		window:   window,
 		log:      logging.For("relay"),
 		start:    time.Now(),
-		chance:   rand.Float64,
+		random:   rand.Float64,
 		nodes:    max(1, nodes),
 		services: map[string]*budgetWindow{},
 	}
@@ -109,7 +109,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(service, now)
-	newest := w.at(w.newest)
+	newest := w.bucket(w.newest)
 	newest.requests++
 	newest.earned += earnShare * b.ratio
 }
@@ -123,21 +123,21 @@
 	defer b.mu.Unlock()
 	w := b.advance(service, now)
 	s := b.state(w, now)
-	left := s.Earned + s.Slack
-	granted = left >= 1
-	if !granted && (b.chance == nil || left <= 0) {
+	available := s.Earned + s.Slack
+	granted = available >= 1
+	if !granted && (b.random == nil || available <= 0) {
 		return Charge{}, false
 	}
-	newest := w.at(w.newest)
-	spent := min(1, left)
+	newest := w.bucket(w.newest)
+	spent := min(1, available)
 	charge.earned = w.spendEarned(spent)
 	charge.slack = spent - charge.earned
 	newest.slack += charge.slack
 	if !granted {
-		granted = b.chance() < chanceShare*left
+		granted = b.random() < probabilityFactor*available
 	}
 	if granted {
-		newest.repeats++
+		newest.retries++
 	}
 	return charge, granted
 }
@@ -151,8 +151,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(service, now)
-	newest := w.at(w.newest)
-	newest.repeats--
+	newest := w.bucket(w.newest)
+	newest.retries--
 	newest.earned += c.earned
 	newest.slack -= c.slack
 }
@@ -201,25 +201,25 @@
 	spent := 0.0
 	for _, bucket := range w.buckets {
 		s.Requests += bucket.requests
-		s.Retries += bucket.repeats
+		s.Retries += bucket.retries
 		spent += bucket.slack
 	}
-	for i := range int64(earnBuckets) {
-		s.Earned += w.at(w.newest - i).earned
+	for i := range int64(earnedTTLBuckets) {
+		s.Earned += w.bucket(w.newest - i).earned
 	}
 	if s.Age >= b.window {
-		s.Slack = max(0, slackShare*b.slack/float64(b.nodes)-spent)
+		s.Slack = max(0, slackFactor*b.slack/float64(b.nodes)-spent)
 	}
 	return s
 }
 
 // spendEarned takes repeats out of what requests have earned, what ends first first, and
 // returns how many it found.
-func (w *budgetWindow) spendEarned(repeats float64) float64 {
+func (w *budgetWindow) spendEarned(retries float64) float64 {
 	found := 0.0
-	for i := int64(earnBuckets - 1); i >= 0; i-- {
-		bucket := w.at(w.newest - i)
-		part := min(bucket.earned, repeats-found)
+	for i := int64(earnedTTLBuckets - 1); i >= 0; i-- {
+		bucket := w.bucket(w.newest - i)
+		part := min(bucket.earned, retries-found)
 		bucket.earned -= part
 		found += part
 	}
@@ -239,7 +239,7 @@
 	}
 	for w.newest < newest {
 		w.newest++
-		*w.at(w.newest) = budgetBucket{}
+		*w.bucket(w.newest) = budgetBucket{}
 	}
 	return w
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -17,10 +17,10 @@
 	head *directory.Head
 }
 
-// refusal is why a request has no target, and when its caller may come back.
-type refusal struct {
-	cause string
-	after time.Duration
+// rejection is why a request has no target, and when its caller may come back.
+type rejection struct {
+	cause      string
+	retryAfter time.Duration
 	// choice is what was known of the groups.
 	choice Choice
 }
@@ -40,72 +40,72 @@
 	causeCooldown   = "the endpoints left have asked for a cooldown"
 )
 
-// maxPermitAsks bounds the endpoints at which a request asks for a permit, each of which takes
+// maxPermitRequests bounds the endpoints at which a request asks for a permit, each of which takes
 // a way to another node and back.
-const maxPermitAsks = 8
+const maxPermitRequests = 8
 
 // choose picks an endpoint and takes a permit of it if it limits how much it takes, or tells
 // why there is none.
-func (c *call) choose(ctx context.Context, now time.Time) (target, refusal) {
-	for range maxPermitAsks {
-		t, no := c.pick(now)
+func (c *call) choose(ctx context.Context, now time.Time) (target, rejection) {
+	for range maxPermitRequests {
+		t, reason := c.pick(now)
 		if t.Endpoint == nil || c.options.Throttle.Acquire(ctx, t.Endpoint) {
-			return t, no
+			return t, reason
 		}
 		now = time.Now()
 	}
-	return target{}, refusal{cause: causeLimited, after: defaultRetryAfter}
+	return target{}, rejection{cause: causeLimited, retryAfter: defaultRetryAfter}
 }
 
 // pick picks an endpoint that may be sent a request, or tells why there is none.
-func (c *call) pick(now time.Time) (target, refusal) {
+func (c *call) pick(now time.Time) (target, rejection) {
 	view := c.options.View()
 	service := view.Configuration.Services[c.service]
 	if service.Engine == nil {
 		e, ok := c.options.Balancer.ChoosePlain(view.Plain[c.service], c.failed, now)
 		if !ok {
-			return target{}, c.noPlain(view.Plain[c.service], now)
+			return target{}, c.plainRejection(view.Plain[c.service], now)
 		}
-		return target{Endpoint: e}, refusal{}
+		return target{Endpoint: e}, rejection{}
 	}
 	heads := view.Heads[directory.Pool{Service: c.service, Model: c.attrs.Model}]
-	choice := c.options.Balancer.ChooseHead(heads, c.size(), c.failed, c.sends > 0, now)
+	choice := c.options.Balancer.ChooseHead(heads, c.size(), c.failed, c.attempts > 0, now)
 	if choice.Head != nil {
-		return target{choice.Head.Endpoint, choice.Predicted, choice.Head}, refusal{}
+		return target{choice.Head.Endpoint, choice.Predicted, choice.Head}, rejection{}
 	}
-	no := refusal{cause: causeSuspected, after: defaultRetryAfter, choice: choice}
+	reason := rejection{cause: causeSuspected, retryAfter: defaultRetryAfter, choice: choice}
 	switch {
 	case choice.Groups == 0:
-		no.cause = causeNoGroup
+		reason.cause = causeNoGroup
 	case choice.Full+choice.Late > 0:
-		no.cause = causeFull
-		no.after = c.options.Balancer.weights.OverloadRetryAfter
+		reason.cause = causeFull
+		reason.retryAfter = c.options.Balancer.weights.OverloadRetryAfter
 	case choice.CoolingDown+choice.Limited > 0:
-		no = c.held(endpointsOf(heads), now)
-		no.choice = choice
+		reason = c.holdRejection(endpointsOf(heads), now)
+		reason.choice = choice
 	}
-	return target{}, no
+	return target{}, reason
 }
 
-// noPlain is why a request to a plain service has no target.
-func (c *call) noPlain(endpoints []*serving.Endpoint, now time.Time) refusal {
+// plainRejection is why a request to a plain service has no target.
+func (c *call) plainRejection(endpoints []*serving.Endpoint, now time.Time) rejection {
 	isHeld := func(e *serving.Endpoint) bool { return c.options.Throttle.Hold(e, now).Temporary() }
 	if !slices.ContainsFunc(endpoints, isHeld) {
-		return refusal{cause: causeNoEndpoint, after: defaultRetryAfter}
+		return rejection{cause: causeNoEndpoint, retryAfter: defaultRetryAfter}
 	}
-	return c.held(endpoints, now)
+	return c.holdRejection(endpoints, now)
 }
 
-// held is why a request has no target where all endpoints that are left are held. Cooldowns
+// holdRejection is why a request has no target where all endpoints that are left are holdRejection. Cooldowns
 // are this node's own: its caller may come back soon, on a new connection, which may reach
 // another node.
-func (c *call) held(endpoints []*serving.Endpoint, now time.Time) refusal {
+func (c *call) holdRejection(endpoints []*serving.Endpoint, now time.Time) rejection {
 	cooldown := c.options.Throttle.CooldownRetryAfter(endpoints, now)
 	limit := c.options.Throttle.LimitRetryAfter(endpoints, now)
 	if cooldown > 0 && (limit == 0 || cooldown < limit) {
-		return refusal{cause: causeCooldown, after: min(cooldown, c.options.Balancer.weights.OverloadRetryAfter)}
+		return rejection{cause: causeCooldown, retryAfter: min(cooldown, c.options.Balancer.weights.OverloadRetryAfter)}
 	}
-	return refusal{cause: causeLimited, after: limit}
+	return rejection{cause: causeLimited, retryAfter: limit}
 }
 
 func endpointsOf(heads []*directory.Head) []*serving.Endpoint {
@@ -120,39 +120,39 @@
 	// resumeWait is how long a stream that broke waits for another endpoint:
 	// a repair by a warm spare takes about as long, and its caller waits for
 	// two seconds between events at least.
-	resumeWait = 1500 * time.Millisecond
-	resumePoll = 50 * time.Millisecond
+	resumeWait         = 1500 * time.Millisecond
+	resumePollInterval = 50 * time.Millisecond
 )
 
-// await picks an endpoint. A stream that was under way at another endpoint waits a little for
+// awaitTarget picks an endpoint. A stream that was under way at another endpoint waits a little for
 // one. One that no endpoint has begun does not wait for a cooldown: its end is known, and the
 // caller may reach another node.
-func (c *call) await(ctx context.Context) (target, refusal) {
-	t, no := c.choose(ctx, time.Now())
-	if t.Endpoint != nil || c.sends == 0 || c.route.Kind != serving.KindStream {
-		return t, no
+func (c *call) awaitTarget(ctx context.Context) (target, rejection) {
+	t, reason := c.choose(ctx, time.Now())
+	if t.Endpoint != nil || c.attempts == 0 || c.route.Kind != serving.KindStream {
+		return t, reason
 	}
-	if no.cause == causeCooldown && !c.begun {
-		return t, no
+	if reason.cause == causeCooldown && !c.responseStarted {
+		return t, reason
 	}
 	limit := time.NewTimer(resumeWait)
 	defer limit.Stop()
-	ticker := time.NewTicker(resumePoll)
+	ticker := time.NewTicker(resumePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return target{}, no
+			return target{}, reason
 		case <-limit.C:
-			return target{}, no
+			return target{}, reason
 		case now := <-ticker.C:
-			if t, no = c.choose(ctx, now); t.Endpoint != nil {
-				return t, no
+			if t, reason = c.choose(ctx, now); t.Endpoint != nil {
+				return t, reason
 			}
 		}
 	}
 }
 
 func (c *call) size() RequestSize {
-	return RequestSize{Prompt: c.attrs.PromptTokens, Answer: c.attrs.AnswerTokens(), Objective: c.route.Objective}
+	return RequestSize{Prompt: c.attrs.PromptTokens, Output: c.attrs.AnswerTokens(), Objective: c.route.Objective}
 }
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -42,13 +42,13 @@
 
 // demandRate is an exponentially weighted rate.
 type demandRate struct {
-	groups   float64
-	requests float64
-	inTime   float64
-	late     float64
-	at       time.Time
+	groups    float64
+	requests  float64
+	inTime    float64
+	late      float64
+	updatedAt time.Time
 	// since is when the first request was counted.
-	since time.Time
+	firstAt time.Time
 }
 
 // NewDemand returns a demand of nothing.
@@ -79,7 +79,7 @@
 func (d *Demand) rate(pool directory.Pool, now time.Time) *demandRate {
 	rate := d.pools[pool]
 	if rate == nil {
-		rate = &demandRate{at: now, since: now}
+		rate = &demandRate{updatedAt: now, firstAt: now}
 		d.pools[pool] = rate
 	}
 	rate.decay(now)
@@ -88,13 +88,13 @@
 
 // decay lets the rate fall with the time since it was last told.
 func (r *demandRate) decay(now time.Time) {
-	if since := now.Sub(r.at); since > 0 {
-		left := math.Exp(-since.Seconds() / demandWindow.Seconds())
-		r.groups *= left
-		r.requests *= left
-		r.inTime *= left
-		r.late *= left
-		r.at = now
+	if since := now.Sub(r.updatedAt); since > 0 {
+		factor := math.Exp(-since.Seconds() / demandWindow.Seconds())
+		r.groups *= factor
+		r.requests *= factor
+		r.inTime *= factor
+		r.late *= factor
+		r.updatedAt = now
 	}
 }
 
@@ -105,31 +105,31 @@
 	out := make(map[directory.Pool]ModelDemand, len(d.pools))
 	for pool, rate := range d.pools {
 		rate.decay(now)
-		seen := rate.seen(now)
-		out[pool] = ModelDemand{rate.groups / seen, rate.requests / seen, rate.inTime, rate.late}
+		observed := rate.observedFraction(now)
+		out[pool] = ModelDemand{rate.groups / observed, rate.requests / observed, rate.inTime, rate.late}
 	}
 	return out
 }
 
-// leastSeen bounds the correction of a rate that has just begun.
-const leastSeen = 0.2
+// minObservedFraction bounds the correction of a rate that has just begun.
+const minObservedFraction = 0.2
 
-// seen is the part of the window that has passed since the first request.
-func (r *demandRate) seen(now time.Time) float64 {
-	return max(leastSeen, 1-math.Exp(-now.Sub(r.since).Seconds()/demandWindow.Seconds()))
+// observedFraction is the part of the window that has passed since the first request.
+func (r *demandRate) observedFraction(now time.Time) float64 {
+	return max(minObservedFraction, 1-math.Exp(-now.Sub(r.firstAt).Seconds()/demandWindow.Seconds()))
 }
 
-// work is how long a request would keep a whole group busy whose batch is full. Its
+// estimateWork is how long a request would keep a whole group busy whose batch is full. Its
 // prompt is read alone; beside that, a pass plays steps for all that write, and reads no
 // more than a chunk. So a request takes up its part of the passes by its prompt or by its
 // answer, whichever is more: groups for long prompts and short answers are full before
 // their slots are.
-func work(engine *serving.Engine, model serving.Model, s RequestSize) time.Duration {
+func estimateWork(engine *serving.Engine, model serving.Model, s RequestSize) time.Duration {
 	slots := float64(max(1, engine.Slots))
-	context := float64(s.Prompt+s.Answer/2) / 1000
+	context := float64(s.Prompt+s.Output/2) / 1000
 	token := engine.StepTime.Seconds()/slots + engine.PerSequence.Seconds() + context*engine.PerThousand.Seconds()
 	reading := float64(s.Prompt) / max(1, engine.TokensPerSec)
-	writing := float64(s.Answer) * token
+	writing := float64(s.Output) * token
 	if engine.Chunk > 0 {
 		passes := float64(s.Prompt) / float64(engine.Chunk)
 		writing = max(writing, passes*float64(engine.StepsPerPass)*slots*token)
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -34,7 +34,7 @@
 	engine := &serving.Engine{Slots: 10, StepTime: 10 * time.Millisecond, PerSequence: time.Millisecond, TokensPerSec: 10_000}
 	model := serving.Model{Pace: 0.5}
 	// 100 ms of reading, and 100 tokens of 2 ms each, at twice the speed.
-	require.Equal(t, 150*time.Millisecond, work(engine, model, RequestSize{Prompt: 1000, Answer: 100}).Round(time.Microsecond))
+	require.Equal(t, 150*time.Millisecond, estimateWork(engine, model, RequestSize{Prompt: 1000, Output: 100}).Round(time.Microsecond))
 }
 
 // Each pass reads a chunk at most and plays steps for all that write, so a long prompt
@@ -44,10 +44,10 @@
 	engine := &serving.Engine{Slots: 10, StepTime: 10 * time.Millisecond, PerSequence: time.Millisecond, TokensPerSec: 10_000, Chunk: 500, StepsPerPass: 5}
 	model := serving.Model{Pace: 1}
 	// 100 ms of reading, and two passes of five steps of 20 ms.
-	require.Equal(t, 300*time.Millisecond, work(engine, model, RequestSize{Prompt: 1000, Answer: 1}).Round(time.Microsecond))
+	require.Equal(t, 300*time.Millisecond, estimateWork(engine, model, RequestSize{Prompt: 1000, Output: 1}).Round(time.Microsecond))
 	// 100 tokens are 200 ms of a full batch, as much as the two passes.
-	require.Equal(t, 300*time.Millisecond, work(engine, model, RequestSize{Prompt: 1000, Answer: 100}).Round(time.Microsecond))
-	require.Equal(t, 500*time.Millisecond, work(engine, model, RequestSize{Prompt: 1000, Answer: 200}).Round(time.Microsecond))
+	require.Equal(t, 300*time.Millisecond, estimateWork(engine, model, RequestSize{Prompt: 1000, Output: 100}).Round(time.Microsecond))
+	require.Equal(t, 500*time.Millisecond, estimateWork(engine, model, RequestSize{Prompt: 1000, Output: 200}).Round(time.Microsecond))
 }
 
 // What is served in time is told beside the demand, and forgotten as that is.
--- a/internal/relay/draw.go
+++ b/internal/relay/draw.go
@@ -55,9 +55,9 @@
 // is another.
 const degradedPenalty = time.Second
 
-// overfull is the part of its slots up to which a head takes requests that
+// retrySlotFactor is the part of its slots up to which a head takes requests that
 // were under way elsewhere: they are let in ahead of those that wait there.
-const overfull = 1.5
+const retrySlotFactor = 1.5
 
 // Choice is the outcome of a choice among groups, with why others were passed
 // over.
@@ -68,10 +68,10 @@
 	Groups    int
 	// Incomplete lack a member; Suspected failed or fell silent lately; Tried
 	// have failed this very request; Full have no slot.
-	Incomplete int
-	Suspected  int
-	Tried      int
-	Full       int
+	Incomplete   int
+	Suspected    int
+	AlreadyTried int
+	Full         int
 	// Late are predicted to have the first event too late.
 	Late int
 	// Limited have no permit of their rate limit, CoolingDown have asked this node to send
@@ -87,50 +87,50 @@
 // node sent to the best group by these figures, it would be overrun by the time
 // that the others learn of it. A request that was under way elsewhere may wait
 // at a full group.
-func (b *Balancer) ChooseHead(heads []*directory.Head, s RequestSize, failed []serving.EndpointID, underWay bool, now time.Time) Choice {
+func (b *Balancer) ChooseHead(heads []*directory.Head, s RequestSize, failed []serving.EndpointID, isRetry bool, now time.Time) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := Choice{Groups: len(heads)}
-	candidates, doubtful := b.candidates[:0], b.doubtful[:0]
+	candidates, peerSuspected := b.candidates[:0], b.peerSuspected[:0]
 	for _, h := range heads {
 		l := b.load(h.ID)
 		l.dataCentre = h.DataCentre
 		predicted := predict(h, l, s)
 		slots := h.Slots
-		if underWay {
-			slots = int(overfull * float64(slots))
+		if isRetry {
+			slots = int(retrySlotFactor * float64(slots))
 		}
 		switch hold := b.hold(h.Endpoint, now); {
 		case h.Incomplete:
 			c.Incomplete++
 		case slices.Contains(failed, h.ID):
-			c.Tried++
+			c.AlreadyTried++
 		case hold == throttle.HoldDraining:
 			c.Draining++
 		case hold == throttle.HoldCooldown:
 			c.CoolingDown++
-		case now.Before(l.suspectUntil), b.isCutOff(h.DataCentre, now):
+		case now.Before(l.suspectUntil), b.isUnreachable(h.DataCentre, now):
 			c.Suspected++
 		case predicted.Running >= slots:
 			c.Full++
 		case hold == throttle.HoldRateLimit:
 			c.Limited++
-		case !underWay && s.late(predicted, b.weights.LateFactor):
+		case !isRetry && s.isLate(predicted, b.weights.LateFactor):
 			c.Late++
-		case b.isDoubtful(h.ID, h.DataCentre, l, now):
-			doubtful = append(doubtful, b.candidate(h, l, predicted, now))
+		case b.isPeerSuspected(h.ID, h.DataCentre, l, now):
+			peerSuspected = append(peerSuspected, b.candidate(h, l, predicted, now))
 		default:
 			candidates = append(candidates, b.candidate(h, l, predicted, now))
 		}
 	}
-	b.candidates, b.doubtful = candidates, doubtful
+	b.candidates, b.peerSuspected = candidates, peerSuspected
 	if len(candidates) == 0 {
 		// What others find is no ground to turn a request away.
-		candidates = doubtful
+		candidates = peerSuspected
 	}
 	if drawn := b.draw(candidates, b.remoteWeight(candidates)); drawn != nil {
 		c.Head, c.Predicted = drawn.head, drawn.predicted
-		b.noteTry(drawn.head.DataCentre, now)
+		b.recordRemoteAttempt(drawn.head.DataCentre, now)
 	}
 	return c
 }
@@ -145,12 +145,12 @@
 }
 
 func (b *Balancer) candidate(h *directory.Head, l *load, predicted Prediction, now time.Time) candidate {
-	tally, pace := l.found(h.Membership.Epoch, now)
-	slow := 1.0
+	tally, pace := l.observed(h.Membership.Epoch, now)
+	slowdown := 1.0
 	if b.weights.ObservedPace {
-		slow = pace.Factor()
+		slowdown = pace.Factor()
 	}
-	c := candidate{h, predicted, b.score(h, predicted, slow), 1}
+	c := candidate{h, predicted, b.score(h, predicted, slowdown), 1}
 	if b.weights.Failures == health.Compare {
 		c.health = health.Weight(tally.Rate())
 	}
@@ -158,8 +158,8 @@
 }
 
 // score is the time that a group is ranked by, some times slower than reckoned.
-func (b *Balancer) score(h *directory.Head, predicted Prediction, slow float64) time.Duration {
-	score := max(time.Duration(slow*float64(predicted.First)), time.Millisecond)
+func (b *Balancer) score(h *directory.Head, predicted Prediction, slowdown float64) time.Duration {
+	score := max(time.Duration(slowdown*float64(predicted.First)), time.Millisecond)
 	if h.DataCentre != b.home {
 		score += b.weights.RemotePenalty
 	}
@@ -169,8 +169,8 @@
 	return score
 }
 
-// usualRemotes is the number of other data centres for which RemotePenalty was found.
-const usualRemotes = 2
+// maxRemoteRatio is the number of other data centres for which RemotePenalty was found.
+const maxRemoteRatio = 2
 
 // remoteWeight is what the weights of groups of other data centres are multiplied with:
 // together they weigh no more than those of usualRemotes as large as the own one would.
@@ -187,7 +187,7 @@
 	if home == 0 || remote == 0 {
 		return 1
 	}
-	return min(1, float64(usualRemotes*home)/float64(remote))
+	return min(1, float64(maxRemoteRatio*home)/float64(remote))
 }
 
 // draw picks one candidate at random, weighted by their scores, those of other data
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 256 << 10
+// maxEventSize bounds one event of a stream, in bytes.
+const maxEventSize = 256 << 10
 
 var (
 	errEventTooLarge = errors.New("an event of the stream is too large")
 	errEventOrder    = errors.New("an event of the stream is out of order")
-	errEventPart     = errors.New("the stream ended inside an event")
+	errPartialEvent  = errors.New("the stream ended inside an event")
 )
 
 // event is one whole event of a stream, as its bytes came.
@@ -43,7 +43,7 @@
 		start := len(r.raw)
 		if err := r.line(); err != nil {
 			if errors.Is(err, io.EOF) && len(r.raw) > 0 {
-				return e, errEventPart
+				return e, errPartialEvent
 			}
 			return e, err
 		}
@@ -68,7 +68,7 @@
 	for {
 		part, err := r.reader.ReadSlice('\n')
 		r.raw = append(r.raw, part...)
-		if len(r.raw) > maxEvent {
+		if len(r.raw) > maxEventSize {
 			return errEventTooLarge
 		}
 		if err == nil {
--- a/internal/relay/flight.go
+++ b/internal/relay/flight.go
@@ -8,24 +8,24 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// flight is one request at an endpoint.
-type flight struct {
-	balancer *Balancer
-	endpoint serving.EndpointID
-	epoch    uint64
-	size     RequestSize
-	reading  bool
+// activeRequest is one request at an endpoint.
+type activeRequest struct {
+	balancer   *Balancer
+	endpoint   serving.EndpointID
+	epoch      uint64
+	size       RequestSize
+	prefilling bool
 	// began is when the request was sent.
-	began time.Time
+	sentAt time.Time
 	// last is when the endpoint last sent something of this request, or when it was
 	// sent.
-	last time.Time
+	lastEventAt time.Time
 	// head is the group's, nil at a plain endpoint.
 	head *directory.Head
 }
 
 // begin counts a request that is sent to an endpoint.
-func (b *Balancer) begin(e *serving.Endpoint, s RequestSize, now time.Time) *flight {
+func (b *Balancer) begin(e *serving.Endpoint, s RequestSize, now time.Time) *activeRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(e.ID)
@@ -36,75 +36,75 @@
 	l.running++
 	l.unread += s.Prompt
 	l.context += s.Prompt
-	return &flight{balancer: b, endpoint: e.ID, epoch: e.Membership.Epoch, size: s, reading: true, began: now, last: now}
+	return &activeRequest{balancer: b, endpoint: e.ID, epoch: e.Membership.Epoch, size: s, prefilling: true, sentAt: now, lastEventAt: now}
 }
 
-// maxPause bounds a pause that counts for an endpoint's pace: a longer one is a stall,
+// maxEventGap bounds a pause that counts for an endpoint's pace: a longer one is a stall,
 // and has its own remedy.
-const maxPause = time.Second
+const maxEventGap = time.Second
 
-// event notes that the endpoint has sent something of the request.
-func (f *flight) event(now time.Time) {
-	f.balancer.mu.Lock()
-	defer f.balancer.mu.Unlock()
-	l := f.balancer.load(f.endpoint)
-	if !f.reading && f.head != nil && l.leads(f.epoch) {
-		l.paces.Record(min(maxPause, now.Sub(f.last)), passTime(f.head, l), now)
+// recordEvent notes that the endpoint has sent something of the request.
+func (a *activeRequest) recordEvent(now time.Time) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	l := a.balancer.load(a.endpoint)
+	if !a.prefilling && a.head != nil && l.advanceEpoch(a.epoch) {
+		l.paces.Record(min(maxEventGap, now.Sub(a.lastEventAt)), passTime(a.head, l), now)
 	}
-	f.last = now
-	l.lastActive, l.event = now, now
+	a.lastEventAt = now
+	l.lastActive, l.lastEvent = now, now
 	l.suspectUntil = time.Time{}
-	if r := f.balancer.remotes[l.dataCentre]; r != nil {
+	if r := a.balancer.remotes[l.dataCentre]; r != nil {
 		r.failures = 0
 	}
-	if f.reading {
-		f.reading = false
-		l.unread -= f.size.Prompt
+	if a.prefilling {
+		a.prefilling = false
+		l.unread -= a.size.Prompt
 	}
 }
 
 // end takes the request off the endpoint's count.
-func (f *flight) end() {
-	f.balancer.mu.Lock()
-	defer f.balancer.mu.Unlock()
-	l := f.balancer.load(f.endpoint)
+func (a *activeRequest) end() {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	l := a.balancer.load(a.endpoint)
 	l.running--
-	l.context -= f.size.Prompt
-	if f.reading {
-		f.reading = false
-		l.unread -= f.size.Prompt
+	l.context -= a.size.Prompt
+	if a.prefilling {
+		a.prefilling = false
+		l.unread -= a.size.Prompt
 	}
 }
 
-// note counts what the request came to.
-func (f *flight) note(failed bool, now time.Time) {
-	b := f.balancer
+// recordOutcome counts what the request came to.
+func (a *activeRequest) recordOutcome(failed bool, now time.Time) {
+	b := a.balancer
 	b.mu.Lock()
-	l := b.load(f.endpoint)
-	if l.leads(f.epoch) {
+	l := b.load(a.endpoint)
+	if l.advanceEpoch(a.epoch) {
 		l.results.Record(failed, now)
 	}
 	b.mu.Unlock()
 	if failed && b.weights.Failures == health.Suspect {
-		b.Suspect(f.endpoint, now)
+		b.Suspect(a.endpoint, now)
 	}
 }
 
-// silence returns how long nothing at all has come from the endpoint.
-func (f *flight) silence(now time.Time) time.Duration {
-	f.balancer.mu.Lock()
-	defer f.balancer.mu.Unlock()
-	l := f.balancer.load(f.endpoint)
-	evidence := health.Evidence{LocalEvent: l.lastActive, Waiting: f.reading}
-	if f.balancer.weights.SharedEvents {
+// endpointSilence returns how long nothing at all has come from the endpoint.
+func (a *activeRequest) endpointSilence(now time.Time) time.Duration {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	l := a.balancer.load(a.endpoint)
+	evidence := health.Evidence{LocalEvent: l.lastActive, Waiting: a.prefilling}
+	if a.balancer.weights.SharedEvents {
 		evidence.PeerEvent = l.peers.LastEvent
 	}
 	return evidence.SilentFor(now)
 }
 
-// quiet returns how long nothing has come of this very request.
-func (f *flight) quiet(now time.Time) time.Duration {
-	f.balancer.mu.Lock()
-	defer f.balancer.mu.Unlock()
-	return now.Sub(f.last)
+// requestSilence returns how long nothing has come of this very request.
+func (a *activeRequest) requestSilence(now time.Time) time.Duration {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	return now.Sub(a.lastEventAt)
 }
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -77,7 +77,7 @@
 func (a endpointAnswer) observe(w *world, e *serving.Endpoint) {
 	c := &call{Relay: w.relay}
 	v := Verdict{Signed: a.signed, NotRun: a.notRun}
-	c.observe(target{Endpoint: e}, v, w.relay.options.Wire.Statement(a.status, nil), &flight{began: time.Now().Add(time.Millisecond)}, a.status)
+	c.observe(target{Endpoint: e}, v, w.relay.options.Wire.Statement(a.status, nil), &activeRequest{sentAt: time.Now().Add(time.Millisecond)}, a.status)
 }
 
 // stating is a wire whose answers all say the same of their endpoints.
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -19,7 +19,7 @@
 	// lastActive is when the endpoint last sent this node something, or had nothing to do
 	// for it; event is when it last sent something.
 	lastActive time.Time
-	event      time.Time
+	lastEvent  time.Time
 	// epoch is that of the group that results are of: those of an earlier group say
 	// nothing of this one. Plain endpoints have none.
 	epoch   uint64
@@ -60,9 +60,9 @@
 	return sum
 }
 
-// found is what requests to an endpoint came to lately, at all nodes, and how it kept its
+// observed is what requests to an endpoint came to lately, at all nodes, and how it kept its
 // pace, in the group of an epoch.
-func (l *load) found(epoch uint64, now time.Time) (health.Tally, health.Pace) {
+func (l *load) observed(epoch uint64, now time.Time) (health.Tally, health.Pace) {
 	var tally health.Tally
 	var pace health.Pace
 	if l.epoch == epoch {
@@ -74,9 +74,9 @@
 	return tally, pace
 }
 
-// leads notes the epoch of the group that an endpoint leads, and reports whether it is
+// advanceEpoch notes the epoch of the group that an endpoint advanceEpoch, and reports whether it is
 // not an earlier one; what was found of the group before is forgotten.
-func (l *load) leads(epoch uint64) bool {
+func (l *load) advanceEpoch(epoch uint64) bool {
 	if epoch > l.epoch {
 		l.epoch, l.results, l.paces = epoch, health.Results{}, health.Paces{}
 	}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// suspectedScore is more than what any endpoint has under way.
-	suspectedScore = 1000
+	// suspectScore is more than what any endpoint has under way.
+	suspectScore = 1000
 	// failureScore is what an endpoint that fails all requests counts for; one that
 	// fails a twentieth more than another is as if it had three requests more.
 	failureScore = 120
@@ -25,22 +25,22 @@
 func (b *Balancer) ChoosePlain(endpoints []*serving.Endpoint, failed []serving.EndpointID, now time.Time) (*serving.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
+	b.rotation++
 	var best *serving.Endpoint
 	bestScore := 0
 	for i := range endpoints {
-		e := endpoints[(i+b.turn)%len(endpoints)]
+		e := endpoints[(i+b.rotation)%len(endpoints)]
 		l := b.load(e.ID)
 		l.dataCentre = e.DataCentre
-		if slices.Contains(failed, e.ID) || b.isCutOff(e.DataCentre, now) || b.hold(e, now) != throttle.HoldNone {
+		if slices.Contains(failed, e.ID) || b.isUnreachable(e.DataCentre, now) || b.hold(e, now) != throttle.HoldNone {
 			continue
 		}
 		score := 2 * (l.running + l.peers.Running)
 		if now.Before(l.suspectUntil) {
-			score += suspectedScore
+			score += suspectScore
 		}
 		if b.weights.Failures == health.Compare {
-			tally, _ := l.found(e.Membership.Epoch, now)
+			tally, _ := l.observed(e.Membership.Epoch, now)
 			score += int(failureScore * tally.Rate())
 		}
 		if e.DataCentre != b.home {
@@ -53,6 +53,6 @@
 	if best == nil {
 		return nil, false
 	}
-	b.noteTry(best.DataCentre, now)
+	b.recordRemoteAttempt(best.DataCentre, now)
 	return best, true
 }
--- a/internal/relay/predict.go
+++ b/internal/relay/predict.go
@@ -10,14 +10,14 @@
 // RequestSize is the work of a request for a model engine, in tokens, and its objective.
 type RequestSize struct {
 	Prompt int
-	Answer int
+	Output int
 	// Objective is the time to the first event that is aimed at.
 	Objective time.Duration
 }
 
-// late reports whether a first event is predicted to come so late that its
+// isLate reports whether a first event is predicted to come so isLate that its
 // request does better to come back in a moment.
-func (s RequestSize) late(p Prediction, factor float64) bool {
+func (s RequestSize) isLate(p Prediction, factor float64) bool {
 	return s.Objective > 0 && float64(p.First) > factor*float64(s.Objective)
 }
 
@@ -32,9 +32,9 @@
 	Unread  int
 }
 
-// stepsOfPass is how long the steps of one pass take by what is under way, at the pace
+// passStepTime is how long the steps of one pass take by what is under way, at the pace
 // of the engine.
-func stepsOfPass(e *serving.Engine, l *load) time.Duration {
+func passStepTime(e *serving.Engine, l *load) time.Duration {
 	running := l.running + l.peers.Running
 	context := l.context
 	if l.running > 0 {
@@ -46,7 +46,7 @@
 
 // passTime is the time between two events of a stream at a head that reads no prompts.
 func passTime(h *directory.Head, l *load) time.Duration {
-	return time.Duration(float64(stepsOfPass(h.Engine, l)) * h.Pace)
+	return time.Duration(float64(passStepTime(h.Engine, l)) * h.Pace)
 }
 
 // predict applies the engine's speed to what is under way at a head.
@@ -57,7 +57,7 @@
 func predict(h *directory.Head, l *load, s RequestSize) Prediction {
 	e := h.Engine
 	running := l.running + l.peers.Running
-	steps := stepsOfPass(e, l)
+	steps := passStepTime(e, l)
 	unread := l.unread + l.peers.Unread
 	chunk := max(1, e.Chunk)
 	reading := func(tokens int) time.Duration {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -63,15 +63,15 @@
 
 // Relay has endpoints run callers' requests. It is safe for concurrent use.
 type Relay struct {
-	options    Options
-	log        logging.Logger
-	inProgress atomic.Int64
-	stopping   atomic.Bool
-	draining   atomic.Bool
-	seen       atomic.Bool
-	crashes    *quarantine.Detector
+	options          Options
+	log              logging.Logger
+	inFlight         atomic.Int64
+	closeConnections atomic.Bool
+	draining         atomic.Bool
+	hasRequests      atomic.Bool
+	crashes          *quarantine.Detector
 	// began is when this node started.
-	began time.Time
+	startedAt time.Time
 
 	mu      sync.Mutex
 	classes map[classKey]*metrics.Class
@@ -82,23 +82,23 @@
 // New returns a relay.
 func New(o Options) *Relay {
 	r := &Relay{
-		options: o,
-		began:   time.Now(),
-		log:     logging.For("relay"),
-		classes: map[classKey]*metrics.Class{},
+		options:   o,
+		startedAt: time.Now(),
+		log:       logging.For("relay"),
+		classes:   map[classKey]*metrics.Class{},
 	}
 	r.crashes = quarantine.NewDetector(o.Quarantine, r.replaced, o.Upstream.Reach)
 	return r
 }
 
 // InFlight returns the number of requests in progress.
-func (r *Relay) InFlight() int64 { return r.inProgress.Load() }
+func (r *Relay) InFlight() int64 { return r.inFlight.Load() }
 
 // HasReceivedRequests reports whether any request has arrived since the start.
-func (r *Relay) HasReceivedRequests() bool { return r.seen.Load() }
+func (r *Relay) HasReceivedRequests() bool { return r.hasRequests.Load() }
 
 // CloseConnections makes every response ask the caller to close its connection.
-func (r *Relay) CloseConnections() { r.stopping.Store(true) }
+func (r *Relay) CloseConnections() { r.closeConnections.Store(true) }
 
 // Drain has new requests refused: there is not enough time left for them.
 func (r *Relay) Drain() { r.draining.Store(true) }
@@ -133,7 +133,7 @@
 	errStalled  contextCause = "the endpoint has fallen silent"
 )
 
-// withLimit bounds a request's context.
-func withLimit(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
+// withDeadline bounds a request's context.
+func withDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadlineCause(ctx, at, errDeadline)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -297,12 +297,12 @@
 		}
 		return &directory.View{Configuration: w.view.Configuration}
 	}
-	time.AfterFunc(startWait/4, func() { known.Store(true) })
+	time.AfterFunc(viewWait/4, func() { known.Store(true) })
 	require.Equal(t, 200, w.serve(request(hostPlain)).status)
 
 	known.Store(false)
 	require.Equal(t, 503, w.serve(request(hostPlain)).status, "the wait is bounded")
-	w.relay.began = time.Now().Add(-2 * startSpan)
+	w.relay.startedAt = time.Now().Add(-2 * startupPeriod)
 	looks.Store(0)
 	require.Equal(t, 503, w.serve(request(hostPlain)).status)
 	require.LessOrEqual(t, looks.Load(), int64(2), "what is not known long after the start is refused at once")
@@ -610,11 +610,11 @@
 	out := &recorder{}
 	route := w.view.Configuration.Match(hostOnce, "/")
 	c := &call{Relay: w.relay, out: out, view: w.view, route: route, in: request(hostOnce), start: time.Now(), deadline: time.Now(), mayHaveRun: true}
-	require.Equal(t, resultDone, c.orEnded(context.Background(), resultBroken))
+	require.Equal(t, resultDone, c.finishIfDone(context.Background(), resultIncomplete))
 	require.Equal(t, 504, out.status)
 
 	c = &call{Relay: w.relay, out: &recorder{}, view: w.view, route: route, deadline: time.Now().Add(patience), mayHaveRun: true}
-	require.Equal(t, resultBroken, c.orEnded(context.Background(), resultBroken))
+	require.Equal(t, resultIncomplete, c.finishIfDone(context.Background(), resultIncomplete))
 }
 
 func TestEventsAreReadWhole(t *testing.T) {
@@ -627,7 +627,7 @@
 	require.NoError(t, err)
 	require.Empty(t, e.id)
 	_, err = r.next()
-	require.ErrorIs(t, err, errEventPart)
+	require.ErrorIs(t, err, errPartialEvent)
 }
 
 // What callers ask for counts also when it is refused.
@@ -660,7 +660,7 @@
 			case <-done:
 				return
 			case now := <-time.After(10 * time.Millisecond):
-				other.event(now)
+				other.recordEvent(now)
 			}
 		}
 	}()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -22,12 +22,12 @@
 type outcome string
 
 const (
-	outcomeServed  outcome = "served"
-	outcomeFailed  outcome = "failed"
-	outcomeRefused outcome = "refused"
-	outcomeBroken  outcome = "broken"
-	outcomeGone    outcome = "gone"
-	outcomeInvalid outcome = "invalid"
+	outcomeServed     outcome = "served"
+	outcomeFailed     outcome = "failed"
+	outcomeRejected   outcome = "refused"
+	outcomeIncomplete outcome = "broken"
+	outcomeClientGone outcome = "gone"
+	outcomeInvalid    outcome = "invalid"
 )
 
 // call is one request on its way.
@@ -41,19 +41,19 @@
 	service   string
 	workspace string
 	// content is the same for all tries of a caller with one request.
-	content quarantine.Fingerprint
-	class   *metrics.Class
-	start   time.Time
+	fingerprint quarantine.Fingerprint
+	class       *metrics.Class
+	start       time.Time
 	// suspended is for how long the machine had been suspended in all at the start.
 	suspended time.Duration
 	// deadline is when the caller, or the route's bound, gives up.
 	deadline time.Time
 	// sends counts the endpoints that the request was sent to, and rejections those of them
 	// that said that they did not run it.
-	sends      int
+	attempts   int
 	rejections int
 	// shed is set once an endpoint has rejected the request and asked for a cooldown.
-	shed bool
+	wasShed bool
 	// charge is what the attempt under way took of the retry budget.
 	charge     Charge
 	mayHaveRun bool
@@ -61,42 +61,42 @@
 	// crashProbe is closed when it is known why the last attempt broke off.
 	crashProbe <-chan struct{}
 	// begun is set once a part of the answer has left.
-	begun     bool
-	lastEvent string
-	events    int
-	outcome   outcome
+	responseStarted bool
+	lastEvent       string
+	events          int
+	outcome         outcome
 	// failure is an endpoint's own failure, to be passed on if no other
 	// endpoint does better.
-	failure *wholeAnswer
+	endpointFailure *bufferedResponse
 }
 
 // Serve runs one request and answers it. The context ends, with
 // httpserver.ErrGone as its cause, when nobody waits any more.
 func (r *Relay) Serve(ctx context.Context, in *Request, out Responder) {
-	r.seen.Store(true)
-	progress := r.inProgress.Add(1)
-	defer r.inProgress.Add(-1)
+	r.hasRequests.Store(true)
+	inFlight := r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
 	c := &call{Relay: r, in: in, out: out, start: time.Now(), suspended: r.options.Clock.Suspended(), view: r.options.View()}
 	var err error
 	if c.attrs, err = r.options.Wire.Attributes(in.Header); err != nil {
-		c.invalid(http.StatusBadRequest, err.Error())
+		c.rejectInvalid(http.StatusBadRequest, err.Error())
 		return
 	}
 	c.awaitView(ctx)
-	if !c.check() {
+	if !c.resolve() {
 		return
 	}
 	c.class = r.class(c.workspace, c.service)
-	c.noteDemand()
-	if progress > int64(r.options.MaxRequests) {
-		c.refuse(refusal{cause: "this node has too many requests in progress", after: r.options.Balancer.weights.OverloadRetryAfter})
+	c.recordDemand()
+	if inFlight > int64(r.options.MaxRequests) {
+		c.reject(rejection{cause: "this node has too many requests in progress", retryAfter: r.options.Balancer.weights.OverloadRetryAfter})
 		return
 	}
 	if r.draining.Load() {
-		c.refuse(refusal{cause: "this node is stopping", after: stoppingRetryAfter})
+		c.reject(rejection{cause: "this node is stopping", retryAfter: drainingRetryAfter})
 		return
 	}
-	ctx, cancel := withLimit(ctx, c.deadline)
+	ctx, cancel := withDeadline(ctx, c.deadline)
 	defer cancel()
 	c.lastEvent = c.attrs.LastEvent
 	r.options.Budget.RecordRequest(c.service, c.start)
@@ -109,8 +109,8 @@
 const (
 	// unreadyRetryAfter is for a node that knows no configuration yet.
 	unreadyRetryAfter = 500 * time.Millisecond
-	// stoppingRetryAfter is for a node that stops: others serve.
-	stoppingRetryAfter = 50 * time.Millisecond
+	// drainingRetryAfter is for a node that stops: others serve.
+	drainingRetryAfter = 50 * time.Millisecond
 	// quarantineRetryAfter is when a request that ends endpoints may be tried again: its
 	// caller's next tries would be refused as well.
 	quarantineRetryAfter = quarantine.TrialDelay
@@ -119,64 +119,64 @@
 )
 
 const (
-	// startWait is how long a request waits for what a node that has just started
+	// viewWait is how long a request waits for what a node that has just started
 	// does not know yet: it reads the configuration and the endpoints in 0.1 s, and a
 	// caller that is told to come back is late for objectives of 250 ms. A node that
 	// has not read them within startSpan refuses at once.
-	startWait = 200 * time.Millisecond
-	startSpan = time.Second
-	startPoll = 5 * time.Millisecond
+	viewWait         = 200 * time.Millisecond
+	startupPeriod    = time.Second
+	viewPollInterval = 5 * time.Millisecond
 )
 
 // awaitView waits a little for what a node that has just started does not know yet.
 func (c *call) awaitView(ctx context.Context) {
-	if c.start.Sub(c.began) > startSpan {
+	if c.start.Sub(c.startedAt) > startupPeriod {
 		return
 	}
-	ticker := time.NewTicker(startPoll)
+	ticker := time.NewTicker(viewPollInterval)
 	defer ticker.Stop()
-	for !isKnown(c.view) && ctx.Err() == nil && time.Since(c.start) < startWait {
+	for !isViewReady(c.view) && ctx.Err() == nil && time.Since(c.start) < viewWait {
 		<-ticker.C
 		c.view = c.options.View()
 	}
 }
 
-// isKnown reports whether a view has what requests are sent by.
-func isKnown(v *directory.View) bool { return v.Configuration != nil && len(v.Endpoints) > 0 }
+// isViewReady reports whether a view has what requests are sent by.
+func isViewReady(v *directory.View) bool { return v.Configuration != nil && len(v.Endpoints) > 0 }
 
-// check finds the route and the workspace, and says no where it must.
-func (c *call) check() bool {
+// resolve finds the route and the workspace, and says no where it must.
+func (c *call) resolve() bool {
 	configuration := c.view.Configuration
 	if configuration == nil {
-		c.refuse(refusal{cause: "no configuration is known yet", after: unreadyRetryAfter})
+		c.reject(rejection{cause: "no configuration is known yet", retryAfter: unreadyRetryAfter})
 		return false
 	}
 	c.route = configuration.Match(c.in.Host, c.in.Path)
 	if c.route == nil {
-		c.invalid(http.StatusNotFound, "no route has this host and path")
+		c.rejectInvalid(http.StatusNotFound, "no route has this host and path")
 		return false
 	}
 	if configuration.Workspaces != nil && !c.route.Public {
 		workspace, ok := configuration.Workspaces[c.attrs.Key]
 		if !ok {
-			c.invalid(http.StatusUnauthorized, "no workspace has this key")
+			c.rejectInvalid(http.StatusUnauthorized, "no workspace has this key")
 			return false
 		}
 		c.workspace = workspace.Name
 	}
 	c.service = c.route.Service(xxh3.HashString(c.attrs.ID))
-	c.content = c.fingerprint()
-	left := c.route.Timeout
-	if c.attrs.HasDeadline && c.attrs.Remaining < left || left <= 0 {
-		left = c.attrs.Remaining
+	c.fingerprint = c.computeFingerprint()
+	timeout := c.route.Timeout
+	if c.attrs.HasDeadline && c.attrs.Remaining < timeout || timeout <= 0 {
+		timeout = c.attrs.Remaining
 	}
-	c.deadline = c.start.Add(left)
+	c.deadline = c.start.Add(timeout)
 	return true
 }
 
-// fingerprint returns what the request is known by when its caller sends it again, with
+// computeFingerprint returns what the request is known by when its caller sends it again, with
 // another id and at another node.
-func (c *call) fingerprint() quarantine.Fingerprint {
+func (c *call) computeFingerprint() quarantine.Fingerprint {
 	caller := c.workspace
 	if caller == "" {
 		caller = c.attrs.Key
@@ -184,71 +184,71 @@
 	return quarantine.FingerprintOf([]byte(caller), []byte(c.in.Host), []byte(c.in.Method), []byte(c.in.URI), c.in.Body)
 }
 
-// noteDemand counts the work that the request asks for.
-func (c *call) noteDemand() {
+// recordDemand counts the work that the request asks for.
+func (c *call) recordDemand() {
 	engine := c.view.Configuration.Services[c.service].Engine
 	if engine == nil {
 		return
 	}
 	if model, ok := engine.Model(c.attrs.Model); ok {
-		c.options.Demand.RecordRequest(directory.Pool{Service: c.service, Model: model.Name}, work(engine, model, c.size()), c.start)
+		c.options.Demand.RecordRequest(directory.Pool{Service: c.service, Model: model.Name}, estimateWork(engine, model, c.size()), c.start)
 	}
 }
 
-// noteInTime counts whether a request got its first event in time.
-func (c *call) noteInTime(inTime bool, now time.Time) {
+// recordInTime counts whether a request got its first event in time.
+func (c *call) recordInTime(inTime bool, now time.Time) {
 	if c.view.Configuration.Services[c.service].Engine != nil {
 		c.options.Demand.RecordOutcome(directory.Pool{Service: c.service, Model: c.attrs.Model}, inTime, now)
 	}
 }
 
-// leastTime is what must be left for a request to be sent: less than the way
+// minRemaining is what must be left for a request to be sent: less than the way
 // there and back only makes work whose answer nobody waits for.
-const leastTime = 2 * wayBack
+const minRemaining = 2 * responseMargin
 
 // attemptAll tries endpoints until the request is answered or given up.
 func (c *call) attemptAll(ctx context.Context) {
 	for {
 		if ctx.Err() != nil {
-			c.ended(ctx)
+			c.handleContextDone(ctx)
 			return
 		}
 		if c.attemptsUsed() {
-			c.giveUp(refusal{cause: causeAttempts, after: c.retryAfterAttempts()})
+			c.finishUnserved(rejection{cause: causeAttempts, retryAfter: c.retryAfterAttempts()})
 			return
 		}
-		if c.left() < leastTime {
-			c.giveUp(refusal{cause: causeDeadline, after: defaultRetryAfter})
+		if c.remaining() < minRemaining {
+			c.finishUnserved(rejection{cause: causeDeadline, retryAfter: defaultRetryAfter})
 			return
 		}
-		if !c.admitted(ctx) {
-			c.giveUp(refusal{cause: causeQuarantine, after: quarantineRetryAfter})
+		if !c.isAllowed(ctx) {
+			c.finishUnserved(rejection{cause: causeQuarantine, retryAfter: quarantineRetryAfter})
 			return
 		}
-		t, no := c.await(ctx)
+		t, reason := c.awaitTarget(ctx)
 		if t.Endpoint == nil && ctx.Err() != nil {
-			c.ended(ctx)
+			c.handleContextDone(ctx)
 			return
 		}
 		if t.Endpoint == nil {
 			// A cooldown is this node's own: others may be served by the same groups, so it
 			// is no demand for more of them.
-			if no.cause == causeFull || no.cause == causeLimited {
-				c.noteInTime(false, time.Now())
+			if reason.cause == causeFull || reason.cause == causeLimited {
+				c.recordInTime(false, time.Now())
 			}
-			c.giveUp(no)
+			c.finishUnserved(reason)
 			return
 		}
 		if !c.chargeRetry() {
-			c.giveUp(refusal{cause: causeBudget, after: c.retryAfterAttempts()})
+			c.finishUnserved(rejection{cause: causeBudget, retryAfter: c.retryAfterAttempts()})
 			return
 		}
 		switch c.attempt(ctx, t) {
 		case resultDone:
 			return
-		case resultBroken, resultFailed:
+		case resultIncomplete, resultFailed:
 			if !c.route.Repeatable() {
-				c.giveUp(refusal{cause: causeOnce})
+				c.finishUnserved(rejection{cause: causeOnce})
 				return
 			}
 		}
@@ -260,7 +260,7 @@
 // endpoints rejected to shed load may be served at once through another node, to which they
 // have not said so; after other failures a group may have to be repaired.
 func (c *call) retryAfterAttempts() time.Duration {
-	if c.shed {
+	if c.wasShed {
 		return c.options.Balancer.weights.OverloadRetryAfter
 	}
 	return defaultRetryAfter
@@ -269,7 +269,7 @@
 // chargeRetry takes a retry out of the budget, and reports whether there was one. A first
 // attempt needs none.
 func (c *call) chargeRetry() bool {
-	if c.sends == 0 {
+	if c.attempts == 0 {
 		return true
 	}
 	charge, granted := c.options.Budget.AcquireRetry(c.service, time.Now())
@@ -280,23 +280,23 @@
 	return granted
 }
 
-// admitted reports whether the request may be sent to an endpoint. It is asked before each
+// isAllowed reports whether the request may be sent to an endpoint. It is asked before each
 // attempt: others may have found meanwhile that the request ends those that run it.
-func (c *call) admitted(ctx context.Context) bool {
-	c.crashes.AwaitProbe(ctx, c.content, c.crashProbe)
-	known, admitted := c.options.Quarantine.Allowed(c.content, time.Now())
-	if !admitted {
-		c.log.Info("a request is not sent, being in quarantine", "request", c.attrs.ID, "content", c.content,
+func (c *call) isAllowed(ctx context.Context) bool {
+	c.crashes.AwaitProbe(ctx, c.fingerprint, c.crashProbe)
+	known, allowed := c.options.Quarantine.Allowed(c.fingerprint, time.Now())
+	if !allowed {
+		c.log.Info("a request is not sent, being in quarantine", "request", c.attrs.ID, "content", c.fingerprint,
 			"ends", len(known.Crashes), "last_age", time.Since(known.Crashes[len(known.Crashes)-1].At), "tried", known.TrialUsed)
 	}
-	return admitted
+	return allowed
 }
 
-// left is how much time the request has. Its caller has waited also while this machine was
+// remaining is how much time the request has. Its caller has waited also while this machine was
 // suspended; that is looked at before anything is sent once more.
-func (c *call) left() time.Duration {
+func (c *call) remaining() time.Duration {
 	suspended := c.options.Clock.Suspended()
-	if c.sends > 0 {
+	if c.attempts > 0 {
 		suspended = c.options.Clock.Refresh()
 	}
 	return time.Until(c.deadline) - (suspended - c.suspended)
@@ -308,39 +308,39 @@
 // attemptsUsed reports whether the request may be sent no more. An endpoint
 // that did not run it does not count as an attempt, within a bound.
 func (c *call) attemptsUsed() bool {
-	return c.sends-min(c.rejections, maxRejections) >= c.route.MaxAttempts
+	return c.attempts-min(c.rejections, maxRejections) >= c.route.MaxAttempts
 }
 
-// ended answers a request whose context has ended.
-func (c *call) ended(ctx context.Context) {
+// handleContextDone answers a request whose context has handleContextDone.
+func (c *call) handleContextDone(ctx context.Context) {
 	if errors.Is(context.Cause(ctx), httpserver.ErrClientGone) {
-		c.outcome = outcomeGone
+		c.outcome = outcomeClientGone
 		c.out.Abort()
 		return
 	}
-	c.giveUp(refusal{cause: causeDeadline, after: defaultRetryAfter})
+	c.finishUnserved(rejection{cause: causeDeadline, retryAfter: defaultRetryAfter})
 }
 
-// giveUp gives the final answer of a request that no endpoint answered.
-func (c *call) giveUp(no refusal) {
+// finishUnserved gives the final answer of a request that no endpoint answered.
+func (c *call) finishUnserved(reason rejection) {
 	switch {
-	case c.begun:
-		c.outcome = outcomeBroken
+	case c.responseStarted:
+		c.outcome = outcomeIncomplete
 		c.out.Abort()
-	case c.failure != nil:
-		c.pass(c.failure)
+	case c.endpointFailure != nil:
+		c.sendBuffered(c.endpointFailure)
 		return
 	case !c.mayHaveRun:
-		c.refuse(no)
+		c.reject(reason)
 		return
-	case no.cause == causeDeadline:
-		c.answer(http.StatusGatewayTimeout, "the answer did not come in time", 0)
+	case reason.cause == causeDeadline:
+		c.respond(http.StatusGatewayTimeout, "the answer did not come in time", 0)
 		c.outcome = outcomeFailed
 	default:
-		c.answer(http.StatusBadGateway, "the endpoint's answer broke off; the request may have run", 0)
+		c.respond(http.StatusBadGateway, "the endpoint's answer broke off; the request may have run", 0)
 		c.outcome = outcomeFailed
 	}
-	c.logEnd(no)
+	c.logUnserved(reason)
 }
 
 // logBudget logs by what a repeat was refused.
@@ -350,29 +350,29 @@
 		"requests", s.Requests, "nodes", s.Nodes, "age", s.Age)
 }
 
-func (c *call) logEnd(no refusal) {
+func (c *call) logUnserved(reason rejection) {
 	route := ""
 	if c.route != nil {
 		route = c.route.Name
 	}
-	c.log.Info("a request was not served", "request", c.attrs.ID, "content", c.content, "route", route, "model", c.attrs.Model, "workspace", c.workspace,
-		"outcome", string(c.outcome), "cause", no.cause, "retry_after", no.after, "sends", c.sends, "may_have_run", c.mayHaveRun, "events", c.events,
+	c.log.Info("a request was not served", "request", c.attrs.ID, "content", c.fingerprint, "route", route, "model", c.attrs.Model, "workspace", c.workspace,
+		"outcome", string(c.outcome), "cause", reason.cause, "retry_after", reason.retryAfter, "sends", c.attempts, "may_have_run", c.mayHaveRun, "events", c.events,
 		"failed", c.failed, "took", time.Since(c.start), "configuration", c.configurationVersion(),
-		"groups", no.choice.Groups, "full", no.choice.Full, "late", no.choice.Late, "suspected", no.choice.Suspected, "incomplete", no.choice.Incomplete, "limited", no.choice.Limited, "cooling_down", no.choice.CoolingDown, "draining", no.choice.Draining)
+		"groups", reason.choice.Groups, "full", reason.choice.Full, "late", reason.choice.Late, "suspected", reason.choice.Suspected, "incomplete", reason.choice.Incomplete, "limited", reason.choice.Limited, "cooling_down", reason.choice.CoolingDown, "draining", reason.choice.Draining)
 }
 
-// refuse answers a request that has not run and never will.
-func (c *call) refuse(no refusal) {
-	invariant.Check(!c.mayHaveRun, invariant.NotRun, "request %s, %s", c.attrs.ID, no.cause)
-	c.outcome = outcomeRefused
-	c.answer(http.StatusServiceUnavailable, no.cause, no.after)
-	c.logEnd(no)
+// reject answers a request that has not run and never will.
+func (c *call) reject(reason rejection) {
+	invariant.Check(!c.mayHaveRun, invariant.NotRun, "request %s, %s", c.attrs.ID, reason.cause)
+	c.outcome = outcomeRejected
+	c.respond(http.StatusServiceUnavailable, reason.cause, reason.retryAfter)
+	c.logUnserved(reason)
 }
 
-// invalid answers a request that the configuration does not allow.
-func (c *call) invalid(status int, cause string) {
+// rejectInvalid answers a request that the configuration does not allow.
+func (c *call) rejectInvalid(status int, cause string) {
 	c.outcome = outcomeInvalid
-	c.answer(status, cause, 0)
+	c.respond(status, cause, 0)
 	c.log.Info("request rejected as invalid", "request", c.attrs.ID, "status", status, "cause", cause,
 		"host", c.in.Host, "path", c.in.Path, "configuration", c.configurationVersion())
 }
@@ -384,21 +384,21 @@
 	return c.view.Configuration.Version
 }
 
-// answer sends an answer that no endpoint gave.
-func (c *call) answer(status int, text string, retryAfter time.Duration) {
+// respond sends an respond that no endpoint gave.
+func (c *call) respond(status int, text string, retryAfter time.Duration) {
 	body := fmt.Appendf(nil, "{\"error\":%q}\n", text)
 	header := c.options.Wire.OwnAnswer(c.attrs.ID, retryAfter)
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	c.begin(status, header)
+	c.beginResponse(status, header)
 	_ = c.out.Write(body)
 	c.out.End()
 }
 
-func (c *call) begin(status int, header http.Header) {
-	if c.stopping.Load() {
+func (c *call) beginResponse(status int, header http.Header) {
+	if c.closeConnections.Load() {
 		header.Set("Connection", "close")
 	}
-	c.begun = true
+	c.responseStarted = true
 	c.out.Begin(status, header)
 }
--- a/internal/relay/whole.go
+++ b/internal/relay/whole.go
@@ -11,15 +11,15 @@
 	"github.com/ridgehinge/ridgehinge/internal/upstream"
 )
 
-// maxWhole bounds an answer that is read whole before it is passed on, in
+// maxBuffered bounds an answer that is read whole before it is passed on, in
 // bytes; a larger one is passed on as it comes.
-const maxWhole = 256 << 10
+const maxBuffered = 256 << 10
 
-// copyBuffer is the size of the parts of a large answer, in bytes.
-const copyBuffer = 16 << 10
+// copyBufferSize is the size of the parts of a large answer, in bytes.
+const copyBufferSize = 16 << 10
 
-// wholeAnswer is an endpoint's answer, read whole.
-type wholeAnswer struct {
+// bufferedResponse is an endpoint's answer, read whole.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -27,56 +27,56 @@
 
 // drain reads the rest of a small answer, so that its connection is kept.
 func drain(response *upstream.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response, copyBuffer))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response, copyBufferSize))
 }
 
-// passWhole reads an answer and passes it on once it is whole: until then
+// relayBuffered reads an answer and passes it on once it is whole: until then
 // the request may still go elsewhere.
-func (c *call) passWhole(ctx context.Context, t target, f *flight, response *upstream.Response) result {
-	body, err := io.ReadAll(io.LimitReader(response, maxWhole))
-	f.event(time.Now())
+func (c *call) relayBuffered(ctx context.Context, t target, active *activeRequest, response *upstream.Response) result {
+	body, err := io.ReadAll(io.LimitReader(response, maxBuffered))
+	active.recordEvent(time.Now())
 	if err != nil {
-		c.recordFailure(ctx, t, f)
+		c.recordFailure(ctx, t, active)
 		c.logAttempt(t, "a broken answer", errors.Join(err, context.Cause(ctx)))
-		return c.orEnded(ctx, resultBroken)
+		return c.finishIfDone(ctx, resultIncomplete)
 	}
-	answer := &wholeAnswer{response.Status, c.options.Wire.Answer(response.Header), body}
-	if len(body) == maxWhole {
-		return c.passLarge(answer, response)
+	answer := &bufferedResponse{response.Status, c.options.Wire.Answer(response.Header), body}
+	if len(body) == maxBuffered {
+		return c.relayUnbuffered(answer, response)
 	}
-	c.servedBy(f, response, response.Status >= http.StatusInternalServerError)
-	if response.Status < http.StatusInternalServerError && !isPromise(response.Status) {
-		c.pass(answer)
+	c.recordComplete(active, response, response.Status >= http.StatusInternalServerError)
+	if response.Status < http.StatusInternalServerError && !impliesNotRun(response.Status) {
+		c.sendBuffered(answer)
 		return resultDone
 	}
 	c.logAttempt(t, "the endpoint failed", errors.New("status "+strconv.Itoa(response.Status)))
-	if isPromise(response.Status) {
+	if impliesNotRun(response.Status) {
 		// The status would promise that it has not run, which it has.
-		return resultBroken
+		return resultIncomplete
 	}
-	c.failure = answer
+	c.endpointFailure = answer
 	return resultFailed
 }
 
-// servedBy counts an answer that came whole. One that is no failure clears the request.
-func (c *call) servedBy(f *flight, response *upstream.Response, failed bool) {
+// recordComplete counts an answer that came whole. One that is no failure clears the request.
+func (c *call) recordComplete(active *activeRequest, response *upstream.Response, failed bool) {
 	now := time.Now()
-	f.note(failed, now)
+	active.recordOutcome(failed, now)
 	if !failed {
-		c.clear(response, now)
+		c.recordSuccess(response, now)
 	}
 }
 
-// clear notes that the request does not end the endpoints that run it, if its answer told
+// recordSuccess notes that the request does not end the endpoints that run it, if its answer told
 // its own end: one that ends with its connection ends like that also when the endpoint does.
-func (c *call) clear(response *upstream.Response, now time.Time) {
+func (c *call) recordSuccess(response *upstream.Response, now time.Time) {
 	if response.Marked {
-		c.options.Quarantine.RecordSuccess(c.content, now)
+		c.options.Quarantine.RecordSuccess(c.fingerprint, now)
 	}
 }
 
-// isPromise reports whether a status promises that a request has not run.
-func isPromise(status int) bool {
+// impliesNotRun reports whether a status promises that a request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -84,33 +84,33 @@
 	return false
 }
 
-// pass gives the caller an endpoint's whole answer.
-func (c *call) pass(a *wholeAnswer) {
+// sendBuffered gives the caller an endpoint's whole answer.
+func (c *call) sendBuffered(a *bufferedResponse) {
 	c.outcome = outcomeServed
 	if a.status >= http.StatusBadRequest {
 		c.outcome = outcomeFailed
 	}
 	a.header.Set("Content-Length", strconv.Itoa(len(a.body)))
 	c.class.FirstToken.RecordDuration(time.Since(c.start))
-	c.begin(a.status, a.header)
+	c.beginResponse(a.status, a.header)
 	if c.out.Write(a.body) != nil {
-		c.outcome = outcomeGone
+		c.outcome = outcomeClientGone
 	}
 	c.out.End()
 }
 
-// passLarge passes on what was read of a large answer, and the rest as it
+// relayUnbuffered passes on what was read of a large answer, and the rest as it
 // comes.
-func (c *call) passLarge(a *wholeAnswer, response *upstream.Response) result {
+func (c *call) relayUnbuffered(a *bufferedResponse, response *upstream.Response) result {
 	if response.Length >= 0 {
 		a.header.Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
-	c.begin(a.status, a.header)
+	c.beginResponse(a.status, a.header)
 	part := a.body
-	buffer := make([]byte, copyBuffer)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		if len(part) > 0 && c.out.Write(part) != nil {
-			c.outcome = outcomeGone
+			c.outcome = outcomeClientGone
 			c.out.Abort()
 			return resultDone
 		}
@@ -120,14 +120,14 @@
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			c.outcome = outcomeServed
-			c.clear(response, time.Now())
+			c.recordSuccess(response, time.Now())
 			if n > 0 {
 				_ = c.out.Write(part)
 			}
 			c.out.End()
 			return resultDone
 		default:
-			c.outcome = outcomeBroken
+			c.outcome = outcomeIncomplete
 			c.out.Abort()
 			return resultDone
 		}
