--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -46,7 +46,7 @@
 	// the time of day may jump.
 	start time.Time
 	// chance returns a number from 0 to 1; nil has parts of a repeat give none.
-	random func() float64
+	randFloat func() float64
 
 	mu       sync.Mutex
 	nodes    int
@@ -71,8 +71,8 @@
 	slack  float64
 }
 
-// bucket returns the bucket of a number. Those before the first are empty ones.
-func (w *budgetWindow) bucket(number int64) *budgetBucket {
+// bucketAt returns the bucketAt of a number. Those before the first are empty ones.
+func (w *budgetWindow) bucketAt(number int64) *budgetBucket {
 	n := int64(len(w.buckets))
 	return &w.buckets[(number%n+n)%n]
 }
@@ -86,7 +86,7 @@
 		window:   window,
 		log:      logging.For("relay"),
 		start:    time.Now(),
-		random:   rand.Float64,
+		randFloat:   rand.Float64,
 		nodes:    max(1, nodes),
 		services: map[string]*budgetWindow{},
 	}
@@ -109,7 +109,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(service, now)
-	newest := w.bucket(w.newest)
+	newest := w.bucketAt(w.newest)
 	newest.requests++
 	newest.earned += earnShare * b.ratio
 }
@@ -125,16 +125,16 @@
 	s := b.state(w, now)
 	available := s.Earned + s.Slack
 	granted = available >= 1
-	if !granted && (b.random == nil || available <= 0) {
+	if !granted && (b.randFloat == nil || available <= 0) {
 		return Charge{}, false
 	}
-	newest := w.bucket(w.newest)
+	newest := w.bucketAt(w.newest)
 	spent := min(1, available)
 	charge.earned = w.spendEarned(spent)
 	charge.slack = spent - charge.earned
 	newest.slack += charge.slack
 	if !granted {
-		granted = b.random() < probabilityFactor*available
+		granted = b.randFloat() < probabilityFactor*available
 	}
 	if granted {
 		newest.retries++
@@ -151,7 +151,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(service, now)
-	newest := w.bucket(w.newest)
+	newest := w.bucketAt(w.newest)
 	newest.retries--
 	newest.earned += c.earned
 	newest.slack -= c.slack
@@ -205,7 +205,7 @@
 		spent += bucket.slack
 	}
 	for i := range int64(earnedTTLBuckets) {
-		s.Earned += w.bucket(w.newest - i).earned
+		s.Earned += w.bucketAt(w.newest - i).earned
 	}
 	if s.Age >= b.window {
 		s.Slack = max(0, slackFactor*b.slack/float64(b.nodes)-spent)
@@ -218,7 +218,7 @@
 func (w *budgetWindow) spendEarned(retries float64) float64 {
 	found := 0.0
 	for i := int64(earnedTTLBuckets - 1); i >= 0; i-- {
-		bucket := w.bucket(w.newest - i)
+		bucket := w.bucketAt(w.newest - i)
 		part := min(bucket.earned, retries-found)
 		bucket.earned -= part
 		found += part
@@ -239,7 +239,7 @@
 	}
 	for w.newest < newest {
 		w.newest++
-		*w.bucket(w.newest) = budgetBucket{}
+		*w.bucketAt(w.newest) = budgetBucket{}
 	}
 	return w
 }
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -70,7 +70,7 @@
 	chance := rand.New(rand.NewPCG(seed, 1))
 	begin := func() *Budget {
 		b := NewBudget(testRatio, testSlack, testWindow, c.nodes)
-		b.random = chance.Float64
+		b.randFloat = chance.Float64
 		return b
 	}
 	seen := &retrylog.Log{}
@@ -214,7 +214,7 @@
 // certainBudget is a budget that leaves nothing to chance, for tests that count.
 func certainBudget(ratio, slack float64, nodes int) *Budget {
 	b := NewBudget(ratio, slack, testWindow, nodes)
-	b.random = nil
+	b.randFloat = nil
 	return b
 }
 
@@ -305,7 +305,7 @@
 func TestRefund_ReturnsWhatARepeatTook(t *testing.T) {
 	start := time.Now()
 	b := NewBudget(0.2, 2, 10*time.Second, 1)
-	b.random = nil
+	b.randFloat = nil
 	now := start.Add(20 * time.Second)
 	for range 8 {
 		b.RecordRequest("llm", now)
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -105,8 +105,8 @@
 	out := make(map[directory.Pool]ModelDemand, len(d.pools))
 	for pool, rate := range d.pools {
 		rate.decay(now)
-		observed := rate.observedFraction(now)
-		out[pool] = ModelDemand{rate.groups / observed, rate.requests / observed, rate.inTime, rate.late}
+		observedFraction := rate.observedFraction(now)
+		out[pool] = ModelDemand{rate.groups / observedFraction, rate.requests / observedFraction, rate.inTime, rate.late}
 	}
 	return out
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -74,7 +74,7 @@
 // httpserver.ErrGone as its cause, when nobody waits any more.
 func (r *Relay) Serve(ctx context.Context, in *Request, out Responder) {
 	r.hasRequests.Store(true)
-	inFlight := r.inFlight.Add(1)
+	current := r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	c := &call{Relay: r, in: in, out: out, start: time.Now(), suspended: r.options.Clock.Suspended(), view: r.options.View()}
 	var err error
@@ -88,7 +88,7 @@
 	}
 	c.class = r.class(c.workspace, c.service)
 	c.recordDemand()
-	if inFlight > int64(r.options.MaxRequests) {
+	if current > int64(r.options.MaxRequests) {
 		c.reject(rejection{cause: "this node has too many requests in progress", retryAfter: r.options.Balancer.weights.OverloadRetryAfter})
 		return
 	}
@@ -284,12 +284,12 @@
 // attempt: others may have found meanwhile that the request ends those that run it.
 func (c *call) isAllowed(ctx context.Context) bool {
 	c.crashes.AwaitProbe(ctx, c.fingerprint, c.crashProbe)
-	known, allowed := c.options.Quarantine.Allowed(c.fingerprint, time.Now())
-	if !allowed {
+	known, isAllowed := c.options.Quarantine.Allowed(c.fingerprint, time.Now())
+	if !isAllowed {
 		c.log.Info("a request is not sent, being in quarantine", "request", c.attrs.ID, "content", c.fingerprint,
 			"ends", len(known.Crashes), "last_age", time.Since(known.Crashes[len(known.Crashes)-1].At), "tried", known.TrialUsed)
 	}
-	return allowed
+	return isAllowed
 }
 
 // remaining is how much time the request has. Its caller has waited also while this machine was
