--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -42,7 +42,7 @@
 }
 
 func (c *call) failQuarantined(known qlist.Record) {
-	c.log.Info("a request is not sent, being in quarantine", "content", c.content, "ends", len(known.Crashes), "tried", known.TrialUsed)
+	c.log.Info("quarantined request not sent", "content", c.content, "ends", len(known.Crashes), "tried", known.TrialUsed)
 	c.fail(failure{
 		status:     http.StatusServiceUnavailable,
 		kind:       "quarantined",
--- a/internal/relay/active.go
+++ b/internal/relay/active.go
@@ -8,29 +8,27 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// activeRequest is one request at an endpoint.
+// activeRequest is a request in flight at an endpoint.
 type activeRequest struct {
 	balancer   *Balancer
 	endpoint   serving.EndpointID
 	epoch      uint64
 	size       RequestSize
 	prefilling bool
-	// began is when the request was sent.
-	sentAt time.Time
-	// last is when the endpoint last sent something of this request, or when it was
-	// sent.
+	sentAt     time.Time
+	// lastEventAt is when the endpoint last sent an event of this request, initially sentAt.
 	lastEventAt time.Time
-	// head is the group's, nil at a plain endpoint.
+	// head is nil for plain endpoints.
 	head *directory.Head
 }
 
-// begin counts a request that is sent to an endpoint.
+// begin counts a request that is being sent to an endpoint.
 func (b *Balancer) begin(e *serving.Endpoint, s RequestSize, now time.Time) *activeRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.load(e.ID)
 	if l.running == 0 {
-		// Silence counts from here: nothing was due before.
+		// Silence is measured from here: nothing was due before.
 		l.lastActive = now
 	}
 	l.running++
@@ -39,11 +37,11 @@
 	return &activeRequest{balancer: b, endpoint: e.ID, epoch: e.Membership.Epoch, size: s, prefilling: true, sentAt: now, lastEventAt: now}
 }
 
-// maxEventGap bounds a pause that counts for an endpoint's pace: a longer one is a stall,
-// and has its own remedy.
+// maxEventGap bounds the gaps that count towards an endpoint's pace: longer ones are stalls, which
+// are handled separately.
 const maxEventGap = time.Second
 
-// recordEvent notes that the endpoint has sent something of the request.
+// recordEvent records that the endpoint sent an event of the request.
 func (a *activeRequest) recordEvent(now time.Time) {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
@@ -63,7 +61,7 @@
 	}
 }
 
-// end takes the request off the endpoint's count.
+// end removes the request from the endpoint's load.
 func (a *activeRequest) end() {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
@@ -76,7 +74,7 @@
 	}
 }
 
-// recordOutcome counts what the request came to.
+// recordOutcome counts a success or a failure of the endpoint.
 func (a *activeRequest) recordOutcome(failed bool, now time.Time) {
 	b := a.balancer
 	b.mu.Lock()
@@ -90,7 +88,7 @@
 	}
 }
 
-// endpointSilence returns how long nothing at all has come from the endpoint.
+// endpointSilence returns how long the endpoint has sent nothing on any request.
 func (a *activeRequest) endpointSilence(now time.Time) time.Duration {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
@@ -102,7 +100,7 @@
 	return evidence.SilentFor(now)
 }
 
-// requestSilence returns how long nothing has come of this very request.
+// requestSilence returns how long the endpoint has sent nothing on this request.
 func (a *activeRequest) requestSilence(now time.Time) time.Duration {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -15,21 +15,21 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// result is how one try ended.
+// result is the outcome of one attempt.
 type result uint8
 
 const (
-	// resultDone: the caller has its final answer, or has gone.
+	// resultDone: the client has its final response, or has disconnected.
 	resultDone result = iota
-	// resultNotRun: the endpoint certainly did not run it.
+	// resultNotRun: the endpoint certainly did not run the request.
 	resultNotRun
-	// resultIncomplete: it may have run, and the answer is not whole.
+	// resultIncomplete: the request may have run, and its response is incomplete.
 	resultIncomplete
-	// resultFailed: it ran, and the endpoint says that it failed.
+	// resultFailed: the request ran, and the endpoint reported a failure.
 	resultFailed
 )
 
-// attempt runs the request once on an endpoint.
+// attempt sends the request to one endpoint.
 func (c *call) attempt(ctx context.Context, t target) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -71,21 +71,21 @@
 	return c.handleResponse(ctx, t, active, response)
 }
 
-// holdError is why a request that had an endpoint was not sent to it.
+// holdError explains why a request was not sent to the endpoint chosen for it.
 type holdError string
 
 func (e holdError) Error() string { return string(e) }
 
-const errQuarantined holdError = "the request is in quarantine"
+const errQuarantined holdError = "request is quarantined"
 
-// gate is the last check before a request's first byte. The endpoint may have asked for a
-// cooldown, or said that it leaves, while the request waited for a permit or a connection.
+// gate is the last check before the first byte of a request is sent. The endpoint may have asked
+// for a cooldown or started draining while the request waited for a permit or a connection.
 func (c *call) gate(t target) error {
 	now := time.Now()
 	hold := c.options.Throttle.Hold(t.Endpoint, now)
 	if hold == throttle.HoldDraining || hold == throttle.HoldCooldown {
 		c.options.Metrics.Inc("requests_held_back", map[string]string{"by": hold.String()})
-		return holdError("the endpoint is held: " + hold.String())
+		return holdError("endpoint is on hold: " + hold.String())
 	}
 	if !c.options.Quarantine.BeginAttempt(c.fingerprint, now) {
 		return errQuarantined
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// handleNotSent handles an attempt of which no byte left: it is not charged to the retry budget, and
-// not to the endpoint if the attempt was held back here.
+// handleNotSent handles an attempt of which no byte was sent. The retry budget is refunded, and
+// the endpoint becomes suspect unless this node held the attempt back.
 func (c *call) handleNotSent(ctx context.Context, t target, err error) result {
 	c.options.Budget.Refund(c.service, c.charge, time.Now())
 	c.charge = Charge{}
@@ -105,9 +105,9 @@
 	return c.finishIfDone(ctx, resultNotRun)
 }
 
-// recordFailure charges a broken attempt to its endpoint, unless the caller, the deadline or
-// the stall detector cancelled it. It also starts a crash probe, since the request itself may
-// have crashed the endpoint.
+// recordFailure counts an incomplete attempt as a failure of its endpoint, unless the client, the
+// deadline or the stall detector cancelled it. It also starts a crash probe, since the request
+// itself may have crashed the endpoint.
 func (c *call) recordFailure(ctx context.Context, t target, active *activeRequest) {
 	now := time.Now()
 	cause := context.Cause(ctx)
@@ -119,12 +119,12 @@
 	}
 }
 
-// responseMargin is taken off the time that an endpoint is given, for the answer's
-// way back.
+// responseMargin is subtracted from the deadline passed to an endpoint, so that its response
+// still arrives in time.
 const responseMargin = 10 * time.Millisecond
 
-// finishIfDone answers the request if its own time is over. A connection's deadline
-// is that of the request, and may be noticed before the context's.
+// finishIfDone finishes the request if it was cancelled or its deadline has passed, and returns r
+// otherwise. The connection has the same deadline and may notice it before the context does.
 func (c *call) finishIfDone(ctx context.Context, r result) result {
 	cause := context.Cause(ctx)
 	switch {
@@ -138,7 +138,7 @@
 	return resultDone
 }
 
-// handleResponse reads an answer's head and passes the answer on if it is one.
+// handleResponse reads the header of a response and relays the response if it is valid.
 func (c *call) handleResponse(ctx context.Context, t target, active *activeRequest, response *upstream.Response) result {
 	verdict := c.options.Wire.Verdict(response.Header)
 	statement := c.options.Wire.Statement(response.Status, response.Header)
@@ -158,9 +158,9 @@
 	return c.relayBuffered(ctx, t, active, response)
 }
 
-// observe applies what an answer says of its endpoint. An answer that is neither signed nor
-// says that the request did not run may be anybody's, and a misdirected request may have met
-// another endpoint.
+// observe applies what a response advertises about its endpoint. A response that is neither signed
+// nor marked as not run may come from anyone, and a misdirected request may have reached another
+// endpoint.
 func (c *call) observe(t target, v Verdict, s advisory.Statement, active *activeRequest, status int) {
 	if !v.Signed && !v.NotRun || status == http.StatusMisdirectedRequest {
 		return
@@ -174,7 +174,7 @@
 	}, time.Now())
 }
 
-// handleRejection notes why an endpoint did not run the request.
+// handleRejection records why an endpoint did not run the request.
 func (c *call) handleRejection(t target, v Verdict, s advisory.Statement, response *upstream.Response) result {
 	c.rejections++
 	at := time.Now()
@@ -182,7 +182,7 @@
 		c.options.Balancer.Suspect(id, at)
 	}
 	if response.Status == http.StatusMisdirectedRequest {
-		// The head leads no group any more, or another endpoint has its address.
+		// The head no longer leads a group, or another endpoint has its address.
 		c.options.Balancer.Suspect(t.ID, at)
 	}
 	drain(response)
@@ -190,7 +190,7 @@
 	return resultNotRun
 }
 
-// endpointNamed returns the endpoint with an id or an address.
+// endpointNamed returns the ID of the endpoint with the given ID or address.
 func (c *call) endpointNamed(name string) serving.EndpointID {
 	if name == "" {
 		return ""
@@ -213,26 +213,25 @@
 }
 
 const (
-	// stallCheckInterval is how often an endpoint's silence is looked at.
+	// stallCheckInterval is how often the stall detector checks an endpoint.
 	stallCheckInterval = 100 * time.Millisecond
-	// stallFactor is how many times the predicted time an endpoint may take
-	// before its silence says anything: a full one is not a dead one.
+	// stallFactor times the predicted time is how long an endpoint may be silent: a busy
+	// endpoint must not be mistaken for a crashed one.
 	stallFactor = 3
 )
 
-// requestStallAfter is how long a stream may get nothing from an endpoint that gives others
-// their events, before it goes on elsewhere: its own connection may have fallen silent for
-// good without a reset. Callers give a stream up after two seconds and more.
+// requestStallAfter is how long a stream may receive nothing from an endpoint that sends events to
+// other requests before it is resumed elsewhere: its connection may be dead without a reset. It is
+// below the two seconds after which clients give up.
 const requestStallAfter = 1500 * time.Millisecond
 
-// stallAfter is how long an endpoint may be silent on all requests.
+// stallAfter returns how long an endpoint may be silent on all requests.
 func (c *call) stallAfter(predicted Prediction) time.Duration {
 	return max(c.options.StallAfter, stallFactor*max(predicted.First, predicted.Gap))
 }
 
-// startStallDetector ends a try at an endpoint that has fallen silent on all of its
-// requests, if the request may go on elsewhere. Silence alone is no ground to
-// end an answer for good.
+// startStallDetector cancels an attempt at an endpoint that has stopped sending, if the request can
+// be retried elsewhere. Silence alone never fails a request.
 func (c *call) startStallDetector(cancel context.CancelCauseFunc, active *activeRequest, predicted Prediction) (stop func()) {
 	if c.route.Kind != serving.KindStream || !c.route.Repeatable() || c.attempts+1-c.rejections >= c.route.MaxAttempts {
 		return func() {}
--- a/internal/relay/balancer.go
+++ b/internal/relay/balancer.go
@@ -10,36 +10,36 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// suspectDuration is how long an endpoint that failed or fell silent is passed over,
-// unless it sends something.
+// suspectDuration is how long an endpoint that failed or stalled is avoided, unless it sends an
+// event.
 const suspectDuration = 2 * time.Second
 
-// Balancer knows what is under way at each endpoint and chooses among them.
+// Balancer tracks the requests in flight at each endpoint and chooses among endpoints.
 // It is safe for concurrent use.
 type Balancer struct {
 	home  serving.DataCentre
 	mu    sync.Mutex
 	loads map[serving.EndpointID]*load
-	// turn breaks ties, so that equal endpoints take turns.
+	// rotation breaks ties, so that equal endpoints are chosen in rotation.
 	rotation int
 	random   *rand.Rand
 	weights  Weights
-	// suspected is called when an endpoint is newly passed over.
+	// onSuspect is called when an endpoint becomes suspect.
 	onSuspect func()
-	// hold tells why an endpoint may be sent nothing now.
+	// hold returns why an endpoint must not be sent requests now.
 	hold func(e *serving.Endpoint, now time.Time) throttle.Hold
-	// remotes are the other data centres.
+	// remotes holds the state of the other data centres.
 	remotes map[serving.DataCentre]*remoteState
-	// told is what other nodes find.
+	// peerReports is what other nodes report.
 	peerReports PeerReports
-	// candidates is kept between choices, doubtful are those that only others
-	// found fault with.
+	// candidates and peerSuspected are reused between choices; peerSuspected holds the
+	// candidates that only other nodes suspect.
 	candidates    []candidate
 	peerSuspected []candidate
 }
 
-// NewBalancer returns a balancer for a node in a data centre. Nodes must draw
-// differently, so each gives its own source.
+// NewBalancer returns a balancer for a node in the given data centre. Each node must pass a
+// differently seeded source, so that nodes choose independently.
 func NewBalancer(home serving.DataCentre, source rand.Source, weights Weights) *Balancer {
 	return &Balancer{home: home, loads: map[serving.EndpointID]*load{}, remotes: map[serving.DataCentre]*remoteState{}, random: rand.New(source), weights: weights, onSuspect: func() {},
 		hold: func(*serving.Endpoint, time.Time) throttle.Hold { return throttle.HoldNone }}
@@ -54,9 +54,9 @@
 	return l
 }
 
-// isFailing reports whether any of the last requests to an endpoint failed. A request
-// that may run once goes there on a new connection: that a dead endpoint refuses it is
-// certain, while a kept connection only breaks.
+// isFailing reports whether recent requests to an endpoint failed. Requests that must not run twice
+// then use a new connection: a crashed endpoint refuses it, which proves that the request did not
+// run, while a kept connection merely breaks.
 func (b *Balancer) isFailing(e *serving.Endpoint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,8 +64,8 @@
 	return b.weights.Failures == health.Compare && tally.Failed > minReportedWeight
 }
 
-// LastEvent returns when an endpoint last sent any node something, as far as this
-// one knows; zero if it does not.
+// LastEvent returns when an endpoint last sent an event to any node, as far as this node knows,
+// or the zero time.
 func (b *Balancer) LastEvent(id serving.EndpointID) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,7 +79,7 @@
 	return l.lastEvent
 }
 
-// Suspect has an endpoint passed over for a while.
+// Suspect marks an endpoint as suspect for suspectDuration.
 func (b *Balancer) Suspect(id serving.EndpointID, now time.Time) {
 	b.mu.Lock()
 	l := b.load(id)
@@ -92,17 +92,17 @@
 	}
 }
 
-// OnSuspect has a function called when an endpoint is newly passed over. It is
-// set before the balancer is used, and must not wait.
+// OnSuspect sets a function that is called when an endpoint becomes suspect. It must be set before
+// the balancer is used, and must not block.
 func (b *Balancer) OnSuspect(f func()) { b.onSuspect = f }
 
-// SetHold sets what tells why an endpoint may be sent nothing now. It is set before the
-// balancer is used, and must not call it.
+// SetHold sets the function that returns why an endpoint must not be sent requests now. It must be
+// set before the balancer is used, and must not call the balancer.
 func (b *Balancer) SetHold(hold func(e *serving.Endpoint, now time.Time) throttle.Hold) {
 	b.hold = hold
 }
 
-// Suspects returns the endpoints that are passed over now.
+// Suspects returns the endpoints that are suspect now.
 func (b *Balancer) Suspects(now time.Time) []serving.EndpointID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,10 +115,10 @@
 	return out
 }
 
-// minReportedWeight is the weight, in requests, below which results are not worth telling.
+// minReportedWeight is the decayed number of requests below which results are not reported.
 const minReportedWeight = 0.3
 
-// LocalLoads returns this node's loads and results by endpoint, to be sent to its peers.
+// LocalLoads returns this node's loads and results by endpoint, for its peers.
 func (b *Balancer) LocalLoads(now time.Time) map[serving.EndpointID]PeerLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,7 +132,7 @@
 	return out
 }
 
-// SetPeerLoads sets the sum of the loads that the other nodes reported.
+// SetPeerLoads sets the sum of the loads reported by the other nodes.
 func (b *Balancer) SetPeerLoads(loads map[serving.EndpointID]PeerLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// Forget drops the endpoints that are not listed and have nothing under way.
+// Forget drops the endpoints that are not known and have no requests in flight.
 func (b *Balancer) Forget(known map[serving.EndpointID]*serving.Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// budgetBuckets is the number of parts that the budget's window is counted in.
+	// budgetBuckets is the number of buckets in the budget's window.
 	budgetBuckets = 10
-	// earnedTTLBuckets is for how many of them a request's part of a repeat can be spent, that
-	// of the request among them. The more, the more repeats can come at once when many
-	// endpoints fail, and the fewer in the long run (earnShare).
+	// earnedTTLBuckets is for how many buckets, including its own, the credit that a request
+	// earns can be spent. A higher value allows more retries at once when many endpoints fail,
+	// and fewer in the long run (earnShare).
 	earnedTTLBuckets = 5
-	// earnShare is the part of the ratio that a request earns. What is spent in a window
-	// was earned in it or in the earnBuckets before, so this share of all of that is no
-	// more than the whole ratio of the window, at steady traffic.
+	// earnShare is the part of the ratio that a request earns. Credit spent in a window was
+	// earned in it or in the earnedTTLBuckets before it, so this share keeps retries within
+	// the ratio at steady traffic.
 	earnShare = float64(budgetBuckets) / (budgetBuckets + earnedTTLBuckets)
-	// slackFactor is the part of the slack that is spent: nodes that were just added are
-	// counted a little later, and traffic is not steady.
+	// slackFactor is the part of the slack that is spent: new nodes are counted late, and
+	// traffic is not steady.
 	slackFactor = 0.85
-	// probabilityFactor times what is left of less than one repeat is the chance of one. All of
-	// it would spend the whole allowance in the mean, and more in every other window.
+	// probabilityFactor times a remaining credit below one retry is the probability that a
+	// retry is granted. With a factor of one the mean would equal the whole allowance, and
+	// every other window would exceed it.
 	probabilityFactor = 0.8
 )
 
-// Budget limits how often requests are sent once more, for each service. All nodes share
-// the allowance without a shared counter, and a restarted node does not know what it has spent
-// before, so nothing may depend on that:
+// Budget limits the retries of each service. All nodes share the allowance without a shared
+// counter, and a restarted node does not know what its previous incarnation spent:
 //
-//   - A request earns a part of a repeat, at the node that takes it and for a short time.
-//     However often nodes start again, each part is spent once at most.
-//   - The slack is split between the nodes. A process spends none of it until it is a whole
-//     window old: the one before it may have spent it all.
-//   - Of many nodes each has less than one repeat at any time. What there is gives a chance
-//     of one, and is spent whether it comes or not.
+//   - A request earns a fraction of a retry, at the node that received it and for a short time.
+//     Each fraction is spent at most once, however often nodes restart.
+//   - The slack is split between the nodes. A process spends none of it until it has run for a
+//     whole window, since its previous incarnation may have spent it all.
+//   - With many nodes, each has less than one retry at any time. That fraction is the basis of a
+//     random draw, and is spent whether or not the draw grants a retry.
 type Budget struct {
 	ratio  float64
 	slack  float64
 	window time.Duration
 	log    logging.Logger
-	// start is when this process began; windows count from it by the steady clock, since
-	// the time of day may jump.
+	// start is when this process started; windows are counted from it by the monotonic clock,
+	// since the wall clock may jump.
 	start time.Time
-	// chance returns a number from 0 to 1; nil has parts of a repeat give none.
+	// randFloat returns a random number in [0, 1); if it is nil, only whole retries are granted.
 	randFloat func() float64
 
 	mu       sync.Mutex
@@ -53,54 +53,53 @@
 	services map[string]*budgetWindow
 }
 
-// budgetWindow counts requests and repeats in a sliding window. It has a bucket more than
-// the window, since the newest is not full.
+// budgetWindow counts requests and retries in a sliding window. It has one bucket more than the
+// window, since the newest is partial.
 type budgetWindow struct {
-	// newest numbers the newest bucket by the time since the process's start.
+	// newest is the number of the newest bucket, counted from the start of the process.
 	newest  int64
 	buckets [budgetBuckets + 1]budgetBucket
 }
 
-// budgetBucket is one part of a window.
 type budgetBucket struct {
 	requests int
 	retries  int
-	// earned is what is left of the repeats that the requests have earned, slack what
-	// was spent of the slack.
+	// earned is the unspent credit of the requests, in retries; slack is how much of the slack
+	// was spent.
 	earned float64
 	slack  float64
 }
 
-// bucketAt returns the bucketAt of a number. Those before the first are empty ones.
+// bucketAt returns the bucket with the given number. Numbers before the first yield empty buckets.
 func (w *budgetWindow) bucketAt(number int64) *budgetBucket {
 	n := int64(len(w.buckets))
 	return &w.buckets[(number%n+n)%n]
 }
 
-// NewBudget returns the budget of a process that begins now, of ratio times the requests plus
-// a slack, in each window, for all nodes together.
+// NewBudget returns the budget of a process that starts now. In each window, all nodes together
+// may send ratio times the requests plus slack retries.
 func NewBudget(ratio, slack float64, window time.Duration, nodes int) *Budget {
 	return &Budget{
-		ratio:    ratio,
-		slack:    slack,
-		window:   window,
-		log:      logging.For("relay"),
-		start:    time.Now(),
-		randFloat:   rand.Float64,
-		nodes:    max(1, nodes),
-		services: map[string]*budgetWindow{},
+		ratio:     ratio,
+		slack:     slack,
+		window:    window,
+		log:       logging.For("relay"),
+		start:     time.Now(),
+		randFloat: rand.Float64,
+		nodes:     max(1, nodes),
+		services:  map[string]*budgetWindow{},
 	}
 }
 
-// SetNodes tells how many nodes share the slack. The number never falls
-// within a process's life: a node that is not heard may still spend.
+// SetNodes sets how many nodes share the slack. The number never falls within an incarnation: a
+// node that is unreachable may still spend its share.
 func (b *Budget) SetNodes(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n <= b.nodes {
 		return
 	}
-	b.log.Info("more nodes share the retry budget", "nodes", n, "before", b.nodes)
+	b.log.Info("retry budget is shared by more nodes", "nodes", n, "before", b.nodes)
 	b.nodes = n
 }
 
@@ -114,7 +113,7 @@
 	newest.earned += earnShare * b.ratio
 }
 
-// Charge is what a repeat took of the budget.
+// Charge is the credit and slack that a retry consumed.
 type Charge struct{ earned, slack float64 }
 
 // AcquireRetry asks for one retry and counts it if granted.
@@ -142,7 +141,7 @@
 	return charge, granted
 }
 
-// Refund returns what a repeat took that was not sent after all. The zero charge is that of a
+// Refund returns the charge of a retry that was not sent after all. The zero Charge belongs to a
 // first attempt.
 func (b *Budget) Refund(service string, c Charge, now time.Time) {
 	if c == (Charge{}) {
@@ -157,31 +156,31 @@
 	newest.slack -= c.slack
 }
 
-// BudgetState is what one service's budget is decided by, for logs and metrics.
+// BudgetState is the state of one service's budget, for logs and metrics.
 type BudgetState struct {
-	// Requests and Retries are those of the window.
+	// Requests and Retries are counted over the window.
 	Requests int
 	Retries  int
-	// Earned and Slack are how many repeats are left, those that requests have earned
-	// and those of this node's slack.
+	// Earned and Slack are the retries left: credit earned by requests, and this node's share
+	// of the slack.
 	Earned float64
 	Slack  float64
 	Nodes  int
-	// Age is how long this process has run.
+	// Age is the time since the process started.
 	Age time.Duration
 }
 
-// Allowed bounds the repeats of the window.
+// Allowed returns the maximum number of retries in the window.
 func (s BudgetState) Allowed() float64 { return float64(s.Retries) + s.Earned + s.Slack }
 
-// State returns what a service's budget is decided by.
+// State returns the state of a service's budget.
 func (b *Budget) State(service string, now time.Time) BudgetState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state(b.advance(service, now), now)
 }
 
-// Tightest returns the state of the service that has the fewest repeats left.
+// Tightest returns the state of the service that has the fewest retries left.
 func (b *Budget) Tightest(now time.Time) BudgetState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,7 +194,7 @@
 	return tightest
 }
 
-// state sums up a window; the caller holds the lock.
+// state sums up a window; the caller must hold the lock.
 func (b *Budget) state(w *budgetWindow, now time.Time) BudgetState {
 	s := BudgetState{Nodes: b.nodes, Age: now.Sub(b.start)}
 	spent := 0.0
@@ -213,8 +212,8 @@
 	return s
 }
 
-// spendEarned takes repeats out of what requests have earned, what ends first first, and
-// returns how many it found.
+// spendEarned consumes up to the given number of retries from the earned credit, that which
+// expires first before the rest, and returns how much it consumed.
 func (w *budgetWindow) spendEarned(retries float64) float64 {
 	found := 0.0
 	for i := int64(earnedTTLBuckets - 1); i >= 0; i-- {
@@ -226,7 +225,7 @@
 	return found
 }
 
-// advance returns the service's window, moved on to now.
+// advance returns the service's window, advanced to now.
 func (b *Budget) advance(service string, now time.Time) *budgetWindow {
 	w := b.services[service]
 	newest := max(0, int64(now.Sub(b.start)/(b.window/budgetBuckets)))
--- a/internal/relay/buffered.go
+++ b/internal/relay/buffered.go
@@ -11,27 +11,27 @@
 	"github.com/ridgehinge/ridgehinge/internal/upstream"
 )
 
-// maxBuffered bounds an answer that is read whole before it is passed on, in
-// bytes; a larger one is passed on as it comes.
+// maxBuffered is the size in bytes up to which a response is buffered before it is relayed; a
+// larger one is relayed as it arrives.
 const maxBuffered = 256 << 10
 
-// copyBufferSize is the size of the parts of a large answer, in bytes.
+// copyBufferSize is the size of the buffer for large responses, in bytes.
 const copyBufferSize = 16 << 10
 
-// bufferedResponse is an endpoint's answer, read whole.
+// bufferedResponse is an endpoint's complete response.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// drain reads the rest of a small answer, so that its connection is kept.
+// drain reads the rest of a small response, so that its connection can be reused.
 func drain(response *upstream.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response, copyBufferSize))
 }
 
-// relayBuffered reads an answer and passes it on once it is whole: until then
-// the request may still go elsewhere.
+// relayBuffered reads a response and relays it once it is complete: until then the request can
+// still be retried elsewhere.
 func (c *call) relayBuffered(ctx context.Context, t target, active *activeRequest, response *upstream.Response) result {
 	body, err := io.ReadAll(io.LimitReader(response, maxBuffered))
 	active.recordEvent(time.Now())
@@ -51,14 +51,15 @@
 	}
 	c.logAttempt(t, "the endpoint failed", errors.New("status "+strconv.Itoa(response.Status)))
 	if impliesNotRun(response.Status) {
-		// The status would promise that it has not run, which it has.
+		// The status would tell the client that the request has not run, but it has.
 		return resultIncomplete
 	}
 	c.endpointFailure = answer
 	return resultFailed
 }
 
-// recordComplete counts an answer that came whole. One that is no failure clears the request.
+// recordComplete counts a complete response. One that is no failure clears the request of
+// suspected crashes.
 func (c *call) recordComplete(active *activeRequest, response *upstream.Response, failed bool) {
 	now := time.Now()
 	active.recordOutcome(failed, now)
@@ -67,15 +68,15 @@
 	}
 }
 
-// recordSuccess notes that the request does not end the endpoints that run it, if its answer told
-// its own end: one that ends with its connection ends like that also when the endpoint does.
+// recordSuccess tells the quarantine that the request does not crash endpoints, if the response has
+// explicit framing: one that ends with its connection looks complete even if the endpoint crashed.
 func (c *call) recordSuccess(response *upstream.Response, now time.Time) {
 	if response.Marked {
 		c.options.Quarantine.RecordSuccess(c.fingerprint, now)
 	}
 }
 
-// impliesNotRun reports whether a status promises that a request has not run.
+// impliesNotRun reports whether a status tells clients that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -84,7 +85,7 @@
 	return false
 }
 
-// sendBuffered gives the caller an endpoint's whole answer.
+// sendBuffered sends the client an endpoint's complete response.
 func (c *call) sendBuffered(a *bufferedResponse) {
 	c.outcome = outcomeServed
 	if a.status >= http.StatusBadRequest {
@@ -99,8 +100,7 @@
 	c.out.End()
 }
 
-// relayUnbuffered passes on what was read of a large answer, and the rest as it
-// comes.
+// relayUnbuffered sends what was read of a large response, and relays the rest as it arrives.
 func (c *call) relayUnbuffered(a *bufferedResponse, response *upstream.Response) result {
 	if response.Length >= 0 {
 		a.header.Set("Content-Length", strconv.FormatInt(response.Length, 10))
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -9,23 +9,23 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// target is where a request goes.
+// target is the endpoint chosen for a request.
 type target struct {
 	*serving.Endpoint
 	predicted Prediction
-	// head is the group's, nil for a plain endpoint.
+	// head is nil for plain endpoints.
 	head *directory.Head
 }
 
-// rejection is why a request has no target, and when its caller may come back.
+// rejection is why a request has no target, and when the client may retry.
 type rejection struct {
 	cause      string
 	retryAfter time.Duration
-	// choice is what was known of the groups.
+	// choice counts the groups by why they were not chosen.
 	choice Choice
 }
 
-// Causes of requests that are given up.
+// Causes of rejected and failed requests.
 const (
 	causeNoEndpoint = "no endpoint"
 	causeNoGroup    = "no group is open"
@@ -40,12 +40,12 @@
 	causeCooldown   = "the endpoints left have asked for a cooldown"
 )
 
-// maxPermitRequests bounds the endpoints at which a request asks for a permit, each of which takes
-// a way to another node and back.
+// maxPermitRequests bounds the endpoints for which one request asks for a permit: each takes a
+// round trip to another node.
 const maxPermitRequests = 8
 
-// choose picks an endpoint and takes a permit of it if it limits how much it takes, or tells
-// why there is none.
+// choose picks an endpoint and acquires a permit if the endpoint has a rate limit; otherwise it
+// returns why there is none.
 func (c *call) choose(ctx context.Context, now time.Time) (target, rejection) {
 	for range maxPermitRequests {
 		t, reason := c.pick(now)
@@ -57,7 +57,7 @@
 	return target{}, rejection{cause: causeLimited, retryAfter: defaultRetryAfter}
 }
 
-// pick picks an endpoint that may be sent a request, or tells why there is none.
+// pick picks an endpoint that may be sent a request, or returns why there is none.
 func (c *call) pick(now time.Time) (target, rejection) {
 	view := c.options.View()
 	service := view.Configuration.Services[c.service]
@@ -87,7 +87,7 @@
 	return target{}, reason
 }
 
-// plainRejection is why a request to a plain service has no target.
+// plainRejection returns why a request to a plain service has no target.
 func (c *call) plainRejection(endpoints []*serving.Endpoint, now time.Time) rejection {
 	isHeld := func(e *serving.Endpoint) bool { return c.options.Throttle.Hold(e, now).Temporary() }
 	if !slices.ContainsFunc(endpoints, isHeld) {
@@ -96,9 +96,9 @@
 	return c.holdRejection(endpoints, now)
 }
 
-// holdRejection is why a request has no target where all endpoints that are left are holdRejection. Cooldowns
-// are this node's own: its caller may come back soon, on a new connection, which may reach
-// another node.
+// holdRejection returns why a request has no target when all remaining endpoints are on hold.
+// Cooldowns apply to this node only, so the client may retry soon on a new connection, which may
+// reach another node.
 func (c *call) holdRejection(endpoints []*serving.Endpoint, now time.Time) rejection {
 	cooldown := c.options.Throttle.CooldownRetryAfter(endpoints, now)
 	limit := c.options.Throttle.LimitRetryAfter(endpoints, now)
@@ -117,16 +117,15 @@
 }
 
 const (
-	// resumeWait is how long a stream that broke waits for another endpoint:
-	// a repair by a warm spare takes about as long, and its caller waits for
-	// two seconds between events at least.
+	// resumeWait is how long an interrupted stream waits for another endpoint. A takeover by a
+	// warm spare takes about as long, and clients wait at least two seconds between events.
 	resumeWait         = 1500 * time.Millisecond
 	resumePollInterval = 50 * time.Millisecond
 )
 
-// awaitTarget picks an endpoint. A stream that was under way at another endpoint waits a little for
-// one. One that no endpoint has begun does not wait for a cooldown: its end is known, and the
-// caller may reach another node.
+// awaitTarget picks an endpoint, waiting a little if a stream was interrupted at another one. It
+// does not wait for a cooldown before the response has started: the end of the cooldown is known,
+// and the client may reach another node.
 func (c *call) awaitTarget(ctx context.Context) (target, rejection) {
 	t, reason := c.choose(ctx, time.Now())
 	if t.Endpoint != nil || c.attempts == 0 || c.route.Kind != serving.KindStream {
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -9,28 +9,26 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// demandWindow is the time constant over which demand is averaged: long enough
-// for some dozens of requests of each model at a small node, short enough to
-// follow a surge within a few seconds.
+// demandWindow is the time constant of the average: long enough for dozens of requests of each
+// model at a small node, short enough to follow a surge within seconds.
 const demandWindow = 4 * time.Second
 
-// Demand is the work that callers ask for of each model, whether it is done or
-// refused: in groups that would be busy with it all the time, their batches
-// full. It is safe for concurrent use.
+// Demand measures the work that clients request of each model, including rejected requests, as the
+// number of groups that it would keep busy with full batches. It is safe for concurrent use.
 type Demand struct {
 	mu    sync.Mutex
 	pools map[directory.Pool]*demandRate
 }
 
-// ModelDemand is the load that callers put on one model, and whether it is served in time.
+// ModelDemand is the demand for one model, and how much of it is served in time.
 type ModelDemand struct {
-	// Groups is the work, in groups that would be busy with it all the time.
+	// Groups is the number of groups that the work would keep busy.
 	Groups float64
-	// Requests is how many come a second.
+	// Requests is the number of requests per second.
 	Requests float64
-	// InTime and Late count requests whose first event came in time, and those of
-	// which it did not or that were refused; older ones count for less. Requests
-	// that met a failure tell nothing of the time that groups have.
+	// InTime and Late are decayed counts of requests by whether their first event came in time;
+	// those rejected for lack of capacity are late. Retried requests are not counted, since
+	// failures don't indicate a lack of capacity.
 	InTime float64
 	Late   float64
 }
@@ -40,18 +38,18 @@
 	return ModelDemand{a.Groups + other.Groups, a.Requests + other.Requests, a.InTime + other.InTime, a.Late + other.Late}
 }
 
-// demandRate is an exponentially weighted rate.
+// demandRate is an exponentially decaying rate.
 type demandRate struct {
 	groups    float64
 	requests  float64
 	inTime    float64
 	late      float64
 	updatedAt time.Time
-	// since is when the first request was counted.
+	// firstAt is when the first request was counted.
 	firstAt time.Time
 }
 
-// NewDemand returns a demand of nothing.
+// NewDemand returns a Demand without any requests.
 func NewDemand() *Demand { return &Demand{pools: map[directory.Pool]*demandRate{}} }
 
 // RecordRequest counts one request and its estimated work.
@@ -75,7 +73,7 @@
 	rate.late++
 }
 
-// rate returns the rate of a pool as of now; the caller holds the lock.
+// rate returns the rate of a pool as of now; the caller must hold the lock.
 func (d *Demand) rate(pool directory.Pool, now time.Time) *demandRate {
 	rate := d.pools[pool]
 	if rate == nil {
@@ -86,7 +84,7 @@
 	return rate
 }
 
-// decay lets the rate fall with the time since it was last told.
+// decay applies the decay since the last update.
 func (r *demandRate) decay(now time.Time) {
 	if since := now.Sub(r.updatedAt); since > 0 {
 		factor := math.Exp(-since.Seconds() / demandWindow.Seconds())
@@ -98,7 +96,7 @@
 	}
 }
 
-// Rates returns what is asked of each model.
+// Rates returns the demand for each model.
 func (d *Demand) Rates(now time.Time) map[directory.Pool]ModelDemand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,19 +109,18 @@
 	return out
 }
 
-// minObservedFraction bounds the correction of a rate that has just begun.
+// minObservedFraction bounds the correction of a rate that has just started.
 const minObservedFraction = 0.2
 
-// observedFraction is the part of the window that has passed since the first request.
+// observedFraction is the part of the averaging window that has passed since the first request.
 func (r *demandRate) observedFraction(now time.Time) float64 {
 	return max(minObservedFraction, 1-math.Exp(-now.Sub(r.firstAt).Seconds()/demandWindow.Seconds()))
 }
 
-// estimateWork is how long a request would keep a whole group busy whose batch is full. Its
-// prompt is read alone; beside that, a pass plays steps for all that write, and reads no
-// more than a chunk. So a request takes up its part of the passes by its prompt or by its
-// answer, whichever is more: groups for long prompts and short answers are full before
-// their slots are.
+// estimateWork returns how long a request would keep a group with a full batch busy. A prompt is
+// processed alone. Each pass then runs its steps for all sequences and processes at most one chunk
+// of prompt tokens, so a request takes up the passes of its prompt or those of its output,
+// whichever are more: groups with long prompts and short outputs are full before their slots are.
 func estimateWork(engine *serving.Engine, model serving.Model, s RequestSize) time.Duration {
 	slots := float64(max(1, engine.Slots))
 	context := float64(s.Prompt+s.Output/2) / 1000
--- a/internal/relay/draw.go
+++ b/internal/relay/draw.go
@@ -12,34 +12,33 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Weights set how requests are spread and rejected.
+// Weights configures how requests are distributed and rejected.
 type Weights struct {
-	// RemotePenalty is added to the predicted time of an endpoint in another data
-	// centre: bytes between data centres cost.
+	// RemotePenalty is added to the predicted time of an endpoint in another data centre, where
+	// traffic has a cost.
 	RemotePenalty time.Duration
-	// DrawPower sets how much likelier a sooner group is drawn: with a half of
-	// the predicted time, 2^DrawPower times.
+	// DrawPower is the exponent of the inverse predicted time in the weight of a group: at
+	// half the time, a group is drawn 2^DrawPower times as often.
 	DrawPower float64
-	// LateFactor times its objective is the predicted time to the first event
-	// beyond which a request is rejected: what it would add to a group that is
-	// behind makes those after it late as well.
+	// LateFactor times its objective is the predicted time to the first event beyond which a
+	// request is rejected: admitting it to a group that is behind would make later requests
+	// late too.
 	LateFactor float64
-	// OverloadRetryAfter is after what time callers may come back that found all
-	// groups full: it leaves time for the prompts ahead to be read, and for an
-	// answer that is still in time.
+	// OverloadRetryAfter is the Retry-After of requests that found all groups full: it leaves
+	// time to process the prompts ahead, and for a response that is still in time.
 	OverloadRetryAfter time.Duration
 	// SkipUnreachable skips a data centre after several of its endpoints failed in a row.
 	SkipUnreachable bool
-	// Failures is what an endpoint's failures do to the choice of it.
+	// Failures is how failures of an endpoint affect its selection.
 	Failures health.FailurePolicy
-	// ObservedPace has groups chosen by the pace of their events, beside the engine's
-	// speed: one with a slow member is slow, which no row tells.
+	// ObservedPace ranks groups by the observed pace of their events too: the engine's nominal
+	// speed does not show a slow member.
 	ObservedPace bool
-	// SharedEvents has events that an endpoint gives other nodes show that it lives.
+	// SharedEvents counts events that an endpoint sends to other nodes as signs of liveness.
 	SharedEvents bool
 }
 
-// DefaultWeights were found by the rounds in docs/DECISIONS.md.
+// DefaultWeights are the weights used unless settings override them.
 var DefaultWeights = Weights{
 	RemotePenalty:      50 * time.Millisecond,
 	DrawPower:          2,
@@ -51,42 +50,39 @@
 	SharedEvents:       true,
 }
 
-// degradedPenalty keeps requests off a group with a leaving member while there
-// is another.
+// degradedPenalty keeps requests off a group with a draining member while there is another.
 const degradedPenalty = time.Second
 
-// retrySlotFactor is the part of its slots up to which a head takes requests that
-// were under way elsewhere: they are let in ahead of those that wait there.
+// retrySlotFactor times its slots is the number of requests up to which a head is sent retries,
+// which it admits ahead of those that queue there.
 const retrySlotFactor = 1.5
 
-// Choice is the outcome of a choice among groups, with why others were passed
-// over.
+// Choice is the result of a choice among groups, and counts why others were not chosen.
 type Choice struct {
-	// Head is nil if no group was left.
+	// Head is nil if no group was available.
 	Head      *directory.Head
 	Predicted Prediction
 	Groups    int
-	// Incomplete lack a member; Suspected failed or fell silent lately; Tried
-	// have failed this very request; Full have no slot.
+	// Incomplete groups lack a member; Suspected groups failed or stalled recently, or are in an
+	// unreachable data centre; AlreadyTried groups failed this request; Full groups have no
+	// free slot.
 	Incomplete   int
 	Suspected    int
 	AlreadyTried int
 	Full         int
-	// Late are predicted to have the first event too late.
+	// Late groups are predicted to send the first event too late.
 	Late int
-	// Limited have no permit of their rate limit, CoolingDown have asked this node to send
-	// nothing for a while, and Draining leave.
+	// Limited groups have no permit of their rate limit, CoolingDown groups have asked this
+	// node for a cooldown, and Draining groups are draining.
 	Limited     int
 	CoolingDown int
 	Draining    int
 }
 
-// ChooseHead draws a group, the likelier the sooner the request is predicted to
-// have its first event there. What the other nodes have under way is known a
-// fraction of a second late, in which a group reads several prompts: if every
-// node sent to the best group by these figures, it would be overrun by the time
-// that the others learn of it. A request that was under way elsewhere may wait
-// at a full group.
+// ChooseHead draws a group at random, weighted by the predicted time to the first event. The loads
+// of other nodes are known with a delay in which a group can process several prompts: if every node
+// chose the best group, it would be overloaded before the others see it. A retry may queue at a full
+// group.
 func (b *Balancer) ChooseHead(heads []*directory.Head, s RequestSize, failed []serving.EndpointID, isRetry bool, now time.Time) Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,7 +121,7 @@
 	}
 	b.candidates, b.peerSuspected = candidates, peerSuspected
 	if len(candidates) == 0 {
-		// What others find is no ground to turn a request away.
+		// The reports of peers alone must not reject a request.
 		candidates = peerSuspected
 	}
 	if drawn := b.draw(candidates, b.remoteWeight(candidates)); drawn != nil {
@@ -135,12 +131,12 @@
 	return c
 }
 
-// candidate is a group that a request may go to.
+// candidate is a group that a request may be sent to.
 type candidate struct {
 	head      *directory.Head
 	predicted Prediction
 	score     time.Duration
-	// health is the part of its weight that its failures leave it.
+	// health is the factor by which failures reduce the weight.
 	health float64
 }
 
@@ -157,7 +153,7 @@
 	return c
 }
 
-// score is the time that a group is ranked by, some times slower than reckoned.
+// score is the predicted time by which a group is ranked, multiplied by its slowdown.
 func (b *Balancer) score(h *directory.Head, predicted Prediction, slowdown float64) time.Duration {
 	score := max(time.Duration(slowdown*float64(predicted.First)), time.Millisecond)
 	if h.DataCentre != b.home {
@@ -169,13 +165,13 @@
 	return score
 }
 
-// maxRemoteRatio is the number of other data centres for which RemotePenalty was found.
+// maxRemoteRatio bounds the weight of groups in other data centres relative to the local ones.
 const maxRemoteRatio = 2
 
-// remoteWeight is what the weights of groups of other data centres are multiplied with:
-// together they weigh no more than those of usualRemotes as large as the own one would.
-// Otherwise most requests would leave their own where there are many data centres, cost bytes,
-// and be lost when one is cut off.
+// remoteWeight returns a factor for the weights of groups in other data centres, so that their
+// number relative to the local groups counts as maxRemoteRatio at most. Otherwise, with many
+// data centres, most requests would leave their own, incur traffic cost, and be lost when a data
+// centre becomes unreachable.
 func (b *Balancer) remoteWeight(candidates []candidate) float64 {
 	home := 0
 	for _, c := range candidates {
@@ -190,8 +186,8 @@
 	return min(1, float64(maxRemoteRatio*home)/float64(remote))
 }
 
-// draw picks one candidate at random, weighted by their scores, those of other data
-// centres by a factor more.
+// draw picks one candidate at random, weighted by score and health, and by remoteWeight in other
+// data centres.
 func (b *Balancer) draw(candidates []candidate, remoteWeight float64) *candidate {
 	if len(candidates) == 0 {
 		return nil
@@ -200,8 +196,8 @@
 	var drawn *candidate
 	total := 0.0
 	for i := range candidates {
-		// Each candidate replaces the one drawn so far with its part of the
-		// weights up to here.
+		// Weighted reservoir sampling: each candidate replaces the drawn one with the
+		// probability of its share of the total so far.
 		weight := candidates[i].health * math.Pow(float64(best)/float64(candidates[i].score), b.weights.DrawPower)
 		if candidates[i].head.DataCentre != b.home {
 			weight *= remoteWeight
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -12,20 +12,19 @@
 const maxEventSize = 256 << 10
 
 var (
-	errEventTooLarge = errors.New("an event of the stream is too large")
-	errEventOrder    = errors.New("an event of the stream is out of order")
-	errPartialEvent  = errors.New("the stream ended inside an event")
+	errEventTooLarge = errors.New("stream event is too large")
+	errEventOrder    = errors.New("stream event is out of order")
+	errPartialEvent  = errors.New("stream ended inside an event")
 )
 
-// event is one whole event of a stream, as its bytes came.
+// event is one complete event of a stream, as received.
 type event struct {
 	raw []byte
 	// id is empty for an event without one.
 	id string
 }
 
-// eventReader reads whole events. The bytes of an event are valid until the
-// next is read.
+// eventReader reads complete events. The bytes of an event are valid until the next call of next.
 type eventReader struct {
 	reader *bufio.Reader
 	raw    []byte
@@ -50,7 +49,7 @@
 		line := bytes.TrimRight(r.raw[start:], "\r\n")
 		if len(line) == 0 {
 			if start == 0 {
-				// A blank line before an event belongs to none.
+				// Skip blank lines before an event.
 				r.raw = r.raw[:0]
 				continue
 			}
@@ -63,7 +62,7 @@
 	}
 }
 
-// line appends one line with its end.
+// line appends one line including its terminator.
 func (r *eventReader) line() error {
 	for {
 		part, err := r.reader.ReadSlice('\n')
@@ -80,7 +79,7 @@
 	}
 }
 
-// follows reports whether an event's id may come after another: ids rise.
+// follows reports whether an event's ID may come after another: IDs increase.
 func follows(id, last string) bool {
 	if id == "" || last == "" {
 		return true
--- a/internal/relay/load.go
+++ b/internal/relay/load.go
@@ -7,45 +7,42 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// load is what is under way at one endpoint.
+// load is the work in flight at one endpoint, and its recent results.
 type load struct {
 	running int
-	// unread is the prompt tokens of requests that have no first event yet;
-	// context is the tokens of all that run.
+	// unread is the prompt tokens of the requests without a first event; context is the prompt
+	// tokens of all requests in flight.
 	unread  int
 	context int
-	// peers is what the other nodes last told.
+	// peers is what the other nodes last reported.
 	peers PeerLoad
-	// lastActive is when the endpoint last sent this node something, or had nothing to do
-	// for it; event is when it last sent something.
+	// lastActive is when the endpoint last sent this node an event, or last became busy with
+	// its first request; lastEvent is when it last sent an event.
 	lastActive time.Time
 	lastEvent  time.Time
-	// epoch is that of the group that results are of: those of an earlier group say
-	// nothing of this one. Plain endpoints have none.
-	epoch   uint64
-	results health.Results
-	paces   health.Paces
-	// suspectUntil is set when it failed or fell silent.
+	// epoch is that of the group which the results are of; results of earlier groups are
+	// dropped. It is zero for plain endpoints.
+	epoch        uint64
+	results      health.Results
+	paces        health.Paces
 	suspectUntil time.Time
-	// dataCentre is known once it was a candidate.
+	// dataCentre is set once the endpoint has been a candidate.
 	dataCentre serving.DataCentre
 }
 
-// PeerLoad is the work that other nodes have at one endpoint, and what they find of it.
+// PeerLoad is the work that other nodes have in flight at one endpoint, and its recent results.
 type PeerLoad struct {
 	Running int
 	Unread  int
-	// LastEvent is when the endpoint last sent any of these nodes an event, zero if it has
-	// not lately.
+	// LastEvent is when the endpoint last sent an event to any of these nodes, or zero.
 	LastEvent time.Time
-	// Tally is what requests to it came to, in the group of an epoch.
+	// Tally counts results of the group with this epoch.
 	Epoch uint64
 	Tally health.Tally
-	// Pace is that of its events.
-	Pace health.Pace
+	Pace  health.Pace
 }
 
-// Add returns the sum of two loads. Results of an earlier group are left out.
+// Add returns the sum of two loads, without the results of the earlier group if epochs differ.
 func (p PeerLoad) Add(other PeerLoad) PeerLoad {
 	sum := PeerLoad{Running: p.Running + other.Running, Unread: p.Unread + other.Unread, LastEvent: p.LastEvent, Epoch: max(p.Epoch, other.Epoch)}
 	if other.LastEvent.After(sum.LastEvent) {
@@ -60,8 +57,8 @@
 	return sum
 }
 
-// observed is what requests to an endpoint came to lately, at all nodes, and how it kept its
-// pace, in the group of an epoch.
+// observed returns the recent results and pace of an endpoint at all nodes, for the group with
+// the given epoch.
 func (l *load) observed(epoch uint64, now time.Time) (health.Tally, health.Pace) {
 	var tally health.Tally
 	var pace health.Pace
@@ -74,8 +71,8 @@
 	return tally, pace
 }
 
-// advanceEpoch notes the epoch of the group that an endpoint advanceEpoch, and reports whether it is
-// not an earlier one; what was found of the group before is forgotten.
+// advanceEpoch drops the results of earlier groups if epoch is newer, and reports whether epoch is
+// current.
 func (l *load) advanceEpoch(epoch uint64) bool {
 	if epoch > l.epoch {
 		l.epoch, l.results, l.paces = epoch, health.Results{}, health.Paces{}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// suspectScore is more than what any endpoint has under way.
+	// suspectScore exceeds the score of any load.
 	suspectScore = 1000
-	// failureScore is what an endpoint that fails all requests counts for; one that
-	// fails a twentieth more than another is as if it had three requests more.
+	// failureScore is the score of an endpoint that fails all requests; a failure rate of one
+	// in twenty counts like three requests in flight.
 	failureScore = 120
 )
 
-// ChoosePlain picks the endpoint of a plain service with the least under way, and with
-// the least failures. An endpoint that goes down and up by turns, or fails a part of
-// what it is sent, is left to the others, which have places enough. One of a data centre
-// that is cut off is none: a request would be held until its dial is given up, 0.7 s of
-// the 0.6 or 0.8 that it has, and refused then.
+// ChoosePlain picks the endpoint of a plain service with the fewest requests in flight and the
+// lowest failure rate. Flapping or failing endpoints are left to recover, as the others have the
+// capacity. Endpoints in unreachable data centres are never chosen: dialling them would use up
+// most of the request's deadline.
 func (b *Balancer) ChoosePlain(endpoints []*serving.Endpoint, failed []serving.EndpointID, now time.Time) (*serving.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/relay/predict.go
+++ b/internal/relay/predict.go
@@ -11,29 +11,28 @@
 type RequestSize struct {
 	Prompt int
 	Output int
-	// Objective is the time to the first event that is aimed at.
+	// Objective is the target for the time to the first event.
 	Objective time.Duration
 }
 
-// isLate reports whether a first event is predicted to come so isLate that its
-// request does better to come back in a moment.
+// isLate reports whether the first event is predicted so late that the client should retry instead.
 func (s RequestSize) isLate(p Prediction, factor float64) bool {
 	return s.Objective > 0 && float64(p.First) > factor*float64(s.Objective)
 }
 
-// Prediction is how a request would fare at an endpoint.
+// Prediction is the expected latency of a request at an endpoint.
 type Prediction struct {
-	// First is the time to the first event, Gap the longest usual pause.
+	// First is the time to the first event, Gap the longest usual time between events.
 	First time.Duration
 	Gap   time.Duration
-	// Running is the number of requests there, Unread their prompt tokens
-	// that are not read yet.
+	// Running is the number of requests there, Unread the number of their prompt tokens that
+	// are not processed yet.
 	Running int
 	Unread  int
 }
 
-// passStepTime is how long the steps of one pass take by what is under way, at the pace
-// of the engine.
+// passStepTime returns how long the steps of one pass take at the current load and the engine's
+// nominal speed.
 func passStepTime(e *serving.Engine, l *load) time.Duration {
 	running := l.running + l.peers.Running
 	context := l.context
@@ -44,16 +43,15 @@
 	return time.Duration(e.StepsPerPass) * step
 }
 
-// passTime is the time between two events of a stream at a head that reads no prompts.
+// passTime returns the time between two events of a stream at a head that processes no prompts.
 func passTime(h *directory.Head, l *load) time.Duration {
 	return time.Duration(float64(passStepTime(h.Engine, l)) * h.Pace)
 }
 
-// predict applies the engine's speed to what is under way at a head.
+// predict applies the engine's speed to the current load of a head.
 //
-// One pass reads at most a chunk of prompt tokens and plays a number of steps
-// for all that write; a new request has its first token once the prompts
-// before it and its own are read.
+// One pass processes at most a chunk of prompt tokens and runs its steps for all sequences; a new
+// request has its first token once the prompts before it and its own are processed.
 func predict(h *directory.Head, l *load, s RequestSize) Prediction {
 	e := h.Engine
 	running := l.running + l.peers.Running
--- a/internal/relay/reachability.go
+++ b/internal/relay/reachability.go
@@ -6,27 +6,27 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// PeerReports is what several other nodes of this data centre find.
+// PeerReports is what other nodes of this data centre report.
 type PeerReports struct {
-	// Unreachable data centres cannot be reached; Suspects are silent or failing endpoints.
+	// Unreachable are data centres; Suspects are stalled or failing endpoints.
 	Unreachable map[serving.DataCentre]bool
 	Suspects    map[serving.EndpointID]bool
 }
 
-// localEvidenceTTL is for how long what an endpoint or a data centre has shown this node itself
-// counts against what others find.
+// localEvidenceTTL is how long an event from an endpoint outweighs the reports of peers about it
+// and its data centre.
 const localEvidenceTTL = 300 * time.Millisecond
 
-// SetPeerReports takes what other nodes find. Without it each node loses half a second of some
-// requests to find out by itself.
+// SetPeerReports sets the reports of other nodes, so that this node need not lose requests to
+// discover the same failures.
 func (b *Balancer) SetPeerReports(h PeerReports) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peerReports = h
 }
 
-// isPeerSuspected reports whether other nodes find an endpoint silent, or its data centre cut
-// off, and it has shown no life to this node lately.
+// isPeerSuspected reports whether peers suspect an endpoint or cannot reach its data centre, and
+// this node has received nothing from it recently.
 func (b *Balancer) isPeerSuspected(id serving.EndpointID, dataCentre serving.DataCentre, l *load, now time.Time) bool {
 	if now.Sub(l.lastActive) < localEvidenceTTL {
 		return false
@@ -47,45 +47,44 @@
 	return out
 }
 
-// remoteState is what this node finds of another data centre.
+// remoteState is this node's view of another data centre.
 type remoteState struct {
-	// failures counts those of its endpoints since one of them showed life.
+	// failures counts the failures since an endpoint there last sent an event.
 	failures int
-	// until is when it is tried again.
+	// retryAt is when the data centre is tried again.
 	retryAt time.Time
 }
 
 const (
-	// unreachableAfter is the number of failures in a row after which another data
-	// centre counts as cut off. It is tried again with one request after
-	// cutRetry, and after twice that each time, for cutDoublings times.
+	// unreachableAfter is the number of consecutive failures after which another data centre
+	// counts as unreachable. It is then retried with single requests, after unreachableRetry at
+	// first and twice as long each further time, for up to maxRetryDoublings doublings.
 	unreachableAfter  = 2
 	unreachableRetry  = 2 * time.Second
 	maxRetryDoublings = 2
 )
 
-// retryDelay is the time until a data centre that seems cut off is tried again.
+// retryDelay returns the time until an unreachable data centre is tried again.
 func (r *remoteState) retryDelay() time.Duration {
 	return unreachableRetry << min(max(0, r.failures-unreachableAfter), maxRetryDoublings)
 }
 
-// isUnreachable reports whether another data centre is not to be tried now. Without
-// this, each node lost half a second of a request to each group of a data centre
-// that was cut off, again and again.
+// isUnreachable reports whether another data centre must not be tried now, so that requests don't
+// wait for each of its groups to time out.
 func (b *Balancer) isUnreachable(dataCentre serving.DataCentre, now time.Time) bool {
 	r := b.remotes[dataCentre]
 	return b.weights.SkipUnreachable && r != nil && r.failures >= unreachableAfter && now.Before(r.retryAt)
 }
 
-// recordRemoteAttempt has a data centre that seems cut off tried by one request only.
+// recordRemoteAttempt limits attempts at an unreachable data centre to one per retry delay.
 func (b *Balancer) recordRemoteAttempt(dataCentre serving.DataCentre, now time.Time) {
 	if r := b.remotes[dataCentre]; r != nil && r.failures >= unreachableAfter {
 		r.retryAt = now.Add(r.retryDelay())
 	}
 }
 
-// recordRemoteFailure counts a failure of an endpoint of another data centre; the
-// caller holds the lock.
+// recordRemoteFailure counts a failure of an endpoint in another data centre; the caller must hold
+// the lock.
 func (b *Balancer) recordRemoteFailure(dataCentre serving.DataCentre, now time.Time) {
 	if dataCentre == "" || dataCentre == b.home {
 		return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,7 +17,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Options of a Relay.
+// Options configures a Relay.
 type Options struct {
 	DataCentre serving.DataCentre
 	Wire       Wire
@@ -27,33 +27,33 @@
 	Budget     *Budget
 	Demand     *Demand
 	Quarantine *quarantine.Quarantine
-	// Throttle is what endpoints asked for in their answers.
+	// Throttle tracks the cooldowns, rate limits and draining that endpoints advertise.
 	Throttle *throttle.Tracker
 	Clock    *clock.Clock
 	Metrics  *metrics.Metrics
-	// StallAfter is how long an endpoint may be silent on all of its
-	// requests before a resumable stream goes on elsewhere.
+	// StallAfter is how long an endpoint may be silent on all of its requests before a
+	// resumable stream is resumed elsewhere.
 	StallAfter time.Duration
-	// MaxRequests bounds the requests in progress.
+	// MaxRequests bounds the requests in flight.
 	MaxRequests int
 }
 
-// Responder answers one caller.
+// Responder writes the response to one client.
 type Responder interface {
-	// Begin sends the status and header; it is called once, and first.
+	// Begin sends the status and header; it is called once, before the other methods.
 	Begin(status int, header http.Header)
 	// Write sends a part of the body.
 	Write(p []byte) error
-	// End says that the answer is whole.
+	// End completes the response.
 	End()
-	// Abort ends an incomplete response so that the caller can tell that it is incomplete.
+	// Abort ends an incomplete response so that the client can tell that it is incomplete.
 	Abort()
 }
 
-// Request is a caller's request, read whole.
+// Request is a client's request with its whole body.
 type Request struct {
 	Method string
-	// URI is the path with the query, as it came; Path is without the query.
+	// URI is the path with the query, as received; Path is without the query.
 	URI    string
 	Path   string
 	Host   string
@@ -61,7 +61,7 @@
 	Body   []byte
 }
 
-// Relay has endpoints run callers' requests. It is safe for concurrent use.
+// Relay forwards clients' requests to endpoints. It is safe for concurrent use.
 type Relay struct {
 	options          Options
 	log              logging.Logger
@@ -70,8 +70,7 @@
 	draining         atomic.Bool
 	hasRequests      atomic.Bool
 	crashes          *quarantine.Detector
-	// began is when this node started.
-	startedAt time.Time
+	startedAt        time.Time
 
 	mu      sync.Mutex
 	classes map[classKey]*metrics.Class
@@ -91,22 +90,22 @@
 	return r
 }
 
-// InFlight returns the number of requests in progress.
+// InFlight returns the number of requests in flight.
 func (r *Relay) InFlight() int64 { return r.inFlight.Load() }
 
 // HasReceivedRequests reports whether any request has arrived since the start.
 func (r *Relay) HasReceivedRequests() bool { return r.hasRequests.Load() }
 
-// CloseConnections makes every response ask the caller to close its connection.
+// CloseConnections makes every response ask the client to close its connection.
 func (r *Relay) CloseConnections() { r.closeConnections.Store(true) }
 
-// Drain has new requests refused: there is not enough time left for them.
+// Drain makes the relay reject new requests.
 func (r *Relay) Drain() { r.draining.Store(true) }
 
-// maxClasses bounds the metrics' labels.
+// maxClasses bounds the number of label combinations in the metrics.
 const maxClasses = 400
 
-// class returns the metrics of a workspace and a kind of request.
+// class returns the metrics of a workspace and a service.
 func (r *Relay) class(workspace, kind string) *metrics.Class {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,17 +122,17 @@
 	return c
 }
 
-// cause of a request's context to end.
+// contextCause is why a request's context was cancelled.
 type contextCause string
 
 func (c contextCause) Error() string { return string(c) }
 
 const (
-	errDeadline contextCause = "the time for the answer is over"
-	errStalled  contextCause = "the endpoint has fallen silent"
+	errDeadline contextCause = "request deadline exceeded"
+	errStalled  contextCause = "endpoint stalled"
 )
 
-// withDeadline bounds a request's context.
+// withDeadline sets a request's deadline.
 func withDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadlineCause(ctx, at, errDeadline)
 }
--- a/internal/relay/replaced.go
+++ b/internal/relay/replaced.go
@@ -5,11 +5,11 @@
 	"github.com/ridgehinge/ridgehinge/internal/quarantine"
 )
 
-// replaced returns those of some incarnations that have another one in their place, by this node's
-// view of the endpoints.
+// replaced returns those incarnations that have been replaced by another, in this node's view of
+// the endpoints.
 func (r *Relay) replaced(incarnations []quarantine.Incarnation) []quarantine.Incarnation {
 	if len(incarnations) == 0 {
-		// A view is built when it is looked at.
+		// Avoid building a view, which happens on demand.
 		return nil
 	}
 	view := r.options.View()
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -18,7 +18,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// outcome is how a request ended, for logs and metrics.
+// outcome is the result of a request, for logs and metrics.
 type outcome string
 
 const (
@@ -30,7 +30,7 @@
 	outcomeInvalid    outcome = "invalid"
 )
 
-// call is one request on its way.
+// call is one request being served.
 type call struct {
 	*Relay
 	in        *Request
@@ -40,38 +40,37 @@
 	route     *serving.Route
 	service   string
 	workspace string
-	// content is the same for all tries of a caller with one request.
+	// fingerprint is the same for all requests by which a client retries the same work.
 	fingerprint quarantine.Fingerprint
 	class       *metrics.Class
 	start       time.Time
-	// suspended is for how long the machine had been suspended in all at the start.
+	// suspended is how long the machine had been suspended in total at the start.
 	suspended time.Duration
-	// deadline is when the caller, or the route's bound, gives up.
+	// deadline is the earlier of the client's deadline and the route's timeout.
 	deadline time.Time
-	// sends counts the endpoints that the request was sent to, and rejections those of them
-	// that said that they did not run it.
+	// attempts counts the endpoints that the request was sent to, and rejections how many of
+	// them answered that they did not run it.
 	attempts   int
 	rejections int
-	// shed is set once an endpoint has rejected the request and asked for a cooldown.
+	// wasShed is set once an endpoint has rejected the request and asked for a cooldown.
 	wasShed bool
-	// charge is what the attempt under way took of the retry budget.
+	// charge is what the current attempt consumed of the retry budget.
 	charge     Charge
 	mayHaveRun bool
 	failed     []serving.EndpointID
-	// crashProbe is closed when it is known why the last attempt broke off.
+	// crashProbe is closed when the reason for the interruption of the last attempt is known.
 	crashProbe <-chan struct{}
-	// begun is set once a part of the answer has left.
+	// responseStarted is set once a part of the response has been sent.
 	responseStarted bool
 	lastEvent       string
 	events          int
 	outcome         outcome
-	// failure is an endpoint's own failure, to be passed on if no other
-	// endpoint does better.
+	// endpointFailure is an endpoint's own error response, relayed if no other endpoint succeeds.
 	endpointFailure *bufferedResponse
 }
 
-// Serve runs one request and answers it. The context ends, with
-// httpserver.ErrGone as its cause, when nobody waits any more.
+// Serve runs one request and responds to it. The context is cancelled with
+// httpserver.ErrClientGone as its cause when the client disconnects.
 func (r *Relay) Serve(ctx context.Context, in *Request, out Responder) {
 	r.hasRequests.Store(true)
 	current := r.inFlight.Add(1)
@@ -105,30 +104,28 @@
 	c.class.Outcome(string(c.outcome))
 }
 
-// Times after which callers may come back.
+// Values of Retry-After.
 const (
-	// unreadyRetryAfter is for a node that knows no configuration yet.
+	// unreadyRetryAfter is for a node without a configuration.
 	unreadyRetryAfter = 500 * time.Millisecond
-	// drainingRetryAfter is for a node that stops: others serve.
+	// drainingRetryAfter is for a node that is draining: other nodes serve.
 	drainingRetryAfter = 50 * time.Millisecond
-	// quarantineRetryAfter is when a request that ends endpoints may be tried again: its
-	// caller's next tries would be refused as well.
+	// quarantineRetryAfter is for a quarantined request: earlier retries would be rejected too.
 	quarantineRetryAfter = quarantine.TrialDelay
-	// defaultRetryAfter leaves time for a group to be repaired.
+	// defaultRetryAfter leaves time for the repair of a group.
 	defaultRetryAfter = 300 * time.Millisecond
 )
 
 const (
-	// viewWait is how long a request waits for what a node that has just started
-	// does not know yet: it reads the configuration and the endpoints in 0.1 s, and a
-	// caller that is told to come back is late for objectives of 250 ms. A node that
-	// has not read them within startSpan refuses at once.
+	// viewWait is how long a request waits for a node that has just started to read the
+	// configuration and the endpoints: a retry by the client would miss its latency objective.
+	// After startupPeriod, requests to a node without them are rejected at once.
 	viewWait         = 200 * time.Millisecond
 	startupPeriod    = time.Second
 	viewPollInterval = 5 * time.Millisecond
 )
 
-// awaitView waits a little for what a node that has just started does not know yet.
+// awaitView waits for the configuration and the endpoints if the node has just started.
 func (c *call) awaitView(ctx context.Context) {
 	if c.start.Sub(c.startedAt) > startupPeriod {
 		return
@@ -141,10 +138,10 @@
 	}
 }
 
-// isViewReady reports whether a view has what requests are sent by.
+// isViewReady reports whether a view has a configuration and endpoints.
 func isViewReady(v *directory.View) bool { return v.Configuration != nil && len(v.Endpoints) > 0 }
 
-// resolve finds the route and the workspace, and says no where it must.
+// resolve finds the route and the workspace, and rejects the request if there is none.
 func (c *call) resolve() bool {
 	configuration := c.view.Configuration
 	if configuration == nil {
@@ -174,8 +171,8 @@
 	return true
 }
 
-// computeFingerprint returns what the request is known by when its caller sends it again, with
-// another id and at another node.
+// computeFingerprint returns a fingerprint that stays the same when the client retries with another
+// ID or at another node.
 func (c *call) computeFingerprint() quarantine.Fingerprint {
 	caller := c.workspace
 	if caller == "" {
@@ -184,7 +181,7 @@
 	return quarantine.FingerprintOf([]byte(caller), []byte(c.in.Host), []byte(c.in.Method), []byte(c.in.URI), c.in.Body)
 }
 
-// recordDemand counts the work that the request asks for.
+// recordDemand counts the estimated work of the request.
 func (c *call) recordDemand() {
 	engine := c.view.Configuration.Services[c.service].Engine
 	if engine == nil {
@@ -195,18 +192,18 @@
 	}
 }
 
-// recordInTime counts whether a request got its first event in time.
+// recordInTime counts whether the first event of a request came in time.
 func (c *call) recordInTime(inTime bool, now time.Time) {
 	if c.view.Configuration.Services[c.service].Engine != nil {
 		c.options.Demand.RecordOutcome(directory.Pool{Service: c.service, Model: c.attrs.Model}, inTime, now)
 	}
 }
 
-// minRemaining is what must be left for a request to be sent: less than the way
-// there and back only makes work whose answer nobody waits for.
+// minRemaining is the least time before the deadline at which a request is sent: with less, its
+// response could not arrive in time.
 const minRemaining = 2 * responseMargin
 
-// attemptAll tries endpoints until the request is answered or given up.
+// attemptAll tries endpoints until the request is finished.
 func (c *call) attemptAll(ctx context.Context) {
 	for {
 		if ctx.Err() != nil {
@@ -231,8 +228,8 @@
 			return
 		}
 		if t.Endpoint == nil {
-			// A cooldown is this node's own: others may be served by the same groups, so it
-			// is no demand for more of them.
+			// A cooldown applies to this node only: the same groups may serve other nodes, so it is
+			// no demand for more of them.
 			if reason.cause == causeFull || reason.cause == causeLimited {
 				c.recordInTime(false, time.Now())
 			}
@@ -256,9 +253,9 @@
 	}
 }
 
-// retryAfterAttempts is when a caller may come back whose request is sent no more. What
-// endpoints rejected to shed load may be served at once through another node, to which they
-// have not said so; after other failures a group may have to be repaired.
+// retryAfterAttempts returns when the client may retry once all attempts are used up. Requests that
+// endpoints shed may be served at once through another node, which has no cooldown; after other
+// failures a group may need repair.
 func (c *call) retryAfterAttempts() time.Duration {
 	if c.wasShed {
 		return c.options.Balancer.weights.OverloadRetryAfter
@@ -266,8 +263,8 @@
 	return defaultRetryAfter
 }
 
-// chargeRetry takes a retry out of the budget, and reports whether there was one. A first
-// attempt needs none.
+// chargeRetry acquires a retry from the budget, and reports whether it was granted. A first attempt
+// needs none.
 func (c *call) chargeRetry() bool {
 	if c.attempts == 0 {
 		return true
@@ -280,20 +277,20 @@
 	return granted
 }
 
-// isAllowed reports whether the request may be sent to an endpoint. It is asked before each
-// attempt: others may have found meanwhile that the request ends those that run it.
+// isAllowed reports whether the request may be sent to an endpoint. It is checked before each
+// attempt, since peers may have quarantined the request meanwhile.
 func (c *call) isAllowed(ctx context.Context) bool {
 	c.crashes.AwaitProbe(ctx, c.fingerprint, c.crashProbe)
 	known, isAllowed := c.options.Quarantine.Allowed(c.fingerprint, time.Now())
 	if !isAllowed {
-		c.log.Info("a request is not sent, being in quarantine", "request", c.attrs.ID, "content", c.fingerprint,
+		c.log.Info("quarantined request not sent", "request", c.attrs.ID, "content", c.fingerprint,
 			"ends", len(known.Crashes), "last_age", time.Since(known.Crashes[len(known.Crashes)-1].At), "tried", known.TrialUsed)
 	}
 	return isAllowed
 }
 
-// remaining is how much time the request has. Its caller has waited also while this machine was
-// suspended; that is looked at before anything is sent once more.
+// remaining returns the time until the deadline. Time for which this machine was suspended counts
+// too, and is refreshed before each retry.
 func (c *call) remaining() time.Duration {
 	suspended := c.options.Clock.Suspended()
 	if c.attempts > 0 {
@@ -302,16 +299,16 @@
 	return time.Until(c.deadline) - (suspended - c.suspended)
 }
 
-// maxRejections bounds the endpoints that may reject a request beside its route's attempts.
+// maxRejections bounds the rejections by endpoints that don't count as attempts.
 const maxRejections = 2
 
-// attemptsUsed reports whether the request may be sent no more. An endpoint
-// that did not run it does not count as an attempt, within a bound.
+// attemptsUsed reports whether all attempts are used up. Up to maxRejections rejections by
+// endpoints don't count.
 func (c *call) attemptsUsed() bool {
 	return c.attempts-min(c.rejections, maxRejections) >= c.route.MaxAttempts
 }
 
-// handleContextDone answers a request whose context has handleContextDone.
+// handleContextDone finishes a request whose context is done.
 func (c *call) handleContextDone(ctx context.Context) {
 	if errors.Is(context.Cause(ctx), httpserver.ErrClientGone) {
 		c.outcome = outcomeClientGone
@@ -321,7 +318,7 @@
 	c.finishUnserved(rejection{cause: causeDeadline, retryAfter: defaultRetryAfter})
 }
 
-// finishUnserved gives the final answer of a request that no endpoint answered.
+// finishUnserved sends the final response of a request that no endpoint has served.
 func (c *call) finishUnserved(reason rejection) {
 	switch {
 	case c.responseStarted:
@@ -343,10 +340,10 @@
 	c.logUnserved(reason)
 }
 
-// logBudget logs by what a repeat was refused.
+// logBudget logs the state of the budget that denied a retry.
 func (c *call) logBudget() {
 	s := c.options.Budget.State(c.service, time.Now())
-	c.log.Info("the retry budget is used up", "request", c.attrs.ID, "service", c.service, "repeats", s.Retries, "earned", s.Earned, "slack", s.Slack,
+	c.log.Info("retry budget exhausted", "request", c.attrs.ID, "service", c.service, "repeats", s.Retries, "earned", s.Earned, "slack", s.Slack,
 		"requests", s.Requests, "nodes", s.Nodes, "age", s.Age)
 }
 
@@ -361,7 +358,7 @@
 		"groups", reason.choice.Groups, "full", reason.choice.Full, "late", reason.choice.Late, "suspected", reason.choice.Suspected, "incomplete", reason.choice.Incomplete, "limited", reason.choice.Limited, "cooling_down", reason.choice.CoolingDown, "draining", reason.choice.Draining)
 }
 
-// reject answers a request that has not run and never will.
+// reject responds to a request that has not run and never will.
 func (c *call) reject(reason rejection) {
 	invariant.Check(!c.mayHaveRun, invariant.NotRun, "request %s, %s", c.attrs.ID, reason.cause)
 	c.outcome = outcomeRejected
@@ -369,7 +366,7 @@
 	c.logUnserved(reason)
 }
 
-// rejectInvalid answers a request that the configuration does not allow.
+// rejectInvalid responds to a request that is malformed or not allowed by the configuration.
 func (c *call) rejectInvalid(status int, cause string) {
 	c.outcome = outcomeInvalid
 	c.respond(status, cause, 0)
@@ -384,7 +381,7 @@
 	return c.view.Configuration.Version
 }
 
-// respond sends an respond that no endpoint gave.
+// respond sends a response of the relay's own.
 func (c *call) respond(status int, text string, retryAfter time.Duration) {
 	body := fmt.Appendf(nil, "{\"error\":%q}\n", text)
 	header := c.options.Wire.OwnAnswer(c.attrs.ID, retryAfter)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -10,8 +10,8 @@
 	"github.com/ridgehinge/ridgehinge/internal/upstream"
 )
 
-// relayStream passes whole events on as they come. When the stream breaks, the
-// next try goes on after the last whole event, inside the same answer.
+// relayStream relays complete events as they arrive. If the stream is interrupted, the next attempt
+// resumes after the last complete event, within the same response.
 func (c *call) relayStream(ctx context.Context, t target, active *activeRequest, response *upstream.Response) result {
 	reader := newEventReader(response)
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// relayEvent passes one event on; false means that the caller has gone.
+// relayEvent relays one event; it returns false if the client has disconnected.
 func (c *call) relayEvent(t target, e event, header http.Header, now time.Time) bool {
 	if !c.responseStarted {
 		answer := c.options.Wire.Answer(header)
