--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -12,20 +12,20 @@
 	"github.com/ridgehinge/ridgehinge/internal/logging"
 )
 
-// log collects lines from many goroutines.
-type log struct {
+// logBuffer collects log lines from many goroutines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *log) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// The three kinds of failed request that docs/OPERATIONS.md leads through.
-func TestExplainNamesTheCauseOfAFailure(t *testing.T) {
+// The kinds of failed requests that the operators' manual covers.
+func TestExplain_NamesCauseOfFailure(t *testing.T) {
 	before := slog.Default()
 	t.Cleanup(func() { slog.SetDefault(before) })
 	for _, test := range []struct {
@@ -35,16 +35,16 @@
 		heads []*endpoint
 		want  []string
 	}{
-		{"a stream cut", hostStream, nil, []*endpoint{newEndpoint(t, events(1, 2, broken), events(3, 3, broken)), newEndpoint(t, events(3, 3, broken))},
+		{"interrupted stream", hostStream, nil, []*endpoint{newEndpoint(t, events(1, 2, breakStream), events(3, 3, breakStream)), newEndpoint(t, events(3, 3, breakStream))},
 			[]string{"broken: attempts used up", "a broken stream at h"}},
-		{"a refusal", hostStream, nil, nil, []string{"refused: no group is open"}},
-		{"a request that may run once, answered 502", hostOnce, []*endpoint{newEndpoint(t, hangUp)}, nil,
+		{"rejection", hostStream, nil, nil, []string{"refused: no group is open"}},
+		{"non-repeatable request answered with 502", hostOnce, []*endpoint{newEndpoint(t, closeConn)}, nil,
 			[]string{"failed: it may not run twice", "no answer at p0"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			out := &log{}
+			out := &logBuffer{}
 			logging.Setup(out, slog.LevelInfo)
-			newWorld(t, test.plain, test.heads).serve(request(test.host))
+			newFixture(t, test.plain, test.heads).serve(request(test.host))
 			lines, err := explain.Read("node", &out.text)
 			require.NoError(t, err)
 			story := explain.Story(lines, "r1")
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestExplainShowsWhatWasBelievedOfTheEndpointsMet(t *testing.T) {
+func TestExplain_ShowsEndpointEvents(t *testing.T) {
 	text := `time=2026-01-01T00:00:01.000Z level=WARN msg="groups: an endpoint counts as dead" endpoint=i-1 why="it did not answer twice"
   2.5 edge-1 time=2026-01-01T00:00:02.000Z level=INFO msg="relay: an attempt failed" request=r1 endpoint=i-1 group=g1 what="no answer" error="the request may have run"
 time=2026-01-01T00:00:01.500Z level=INFO msg="groups: dissolves a group" group=g1 epoch=3
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -13,83 +13,82 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// denied has the places of all endpoints denied for a while.
-func denied(wait time.Duration) throttle.Options {
+// denyPermits denies every request for a permit.
+func denyPermits(wait time.Duration) throttle.Options {
 	return throttle.Options{Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
 		return throttle.Permit{Wait: wait}, nil
 	}}
 }
 
-// limited has an endpoint name a limit.
-func (w *world) limited(id serving.EndpointID) {
+// setLimit sets the rate limit of an endpoint.
+func (w *fixture) setLimit(id serving.EndpointID) {
 	w.relay.options.Throttle.SetLimit(w.view.Endpoints[id].Incarnation(), 1, time.Now())
 }
 
-func TestRateLimit_OverflowGoesToOtherEndpoints(t *testing.T) {
-	a, b := newEndpoint(t, events(1, 2, whole)), newEndpoint(t, events(1, 2, whole))
-	w := newWorld(t, nil, []*endpoint{a, b})
-	w.useThrottle(throttle.NewTracker(denied(time.Second)))
-	w.limited("h0")
+func TestRateLimit_SendsOverflowElsewhere(t *testing.T) {
+	a, b := newEndpoint(t, events(1, 2, endStream)), newEndpoint(t, events(1, 2, endStream))
+	w := newFixture(t, nil, []*endpoint{a, b})
+	w.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
+	w.setLimit("h0")
 	for range 5 {
 		require.Equal(t, http.StatusOK, w.serve(request(hostStream)).status)
 	}
-	require.Empty(t, a.arrivals())
-	require.Len(t, b.arrivals(), 5)
+	require.Empty(t, a.requests())
+	require.Len(t, b.requests(), 5)
 }
 
-func TestRateLimit_RejectsAtOnceWhatNoEndpointTakes(t *testing.T) {
+func TestRateLimit_RejectsImmediately(t *testing.T) {
 	for _, host := range []string{hostStream, hostOnce} {
-		e := newEndpoint(t, events(1, 2, whole))
-		w := newWorld(t, []*endpoint{e}, []*endpoint{e})
-		w.useThrottle(throttle.NewTracker(denied(time.Second)))
-		w.limited("h0")
-		w.limited("p0")
+		e := newEndpoint(t, events(1, 2, endStream))
+		w := newFixture(t, []*endpoint{e}, []*endpoint{e})
+		w.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
+		w.setLimit("h0")
+		w.setLimit("p0")
 		after := w.rejectedAtOnce(t, host)
-		require.InDelta(t, time.Second, after, float64(50*time.Millisecond), "the limit's next place")
-		require.Empty(t, e.arrivals())
+		require.InDelta(t, time.Second, after, float64(50*time.Millisecond), "the time of the next permit")
+		require.Empty(t, e.requests())
 	}
 }
 
-// A stream that breaks asks the limit for its next endpoint before it asks the retry budget:
-// what the limit keeps back is not counted as a repeat.
-func TestRateLimit_DeniedRetriesAreNotCharged(t *testing.T) {
-	a, b := newEndpoint(t, events(1, 3, broken)), newEndpoint(t, events(4, 5, whole))
-	w := newWorld(t, nil, []*endpoint{a, b})
-	w.useThrottle(throttle.NewTracker(denied(10 * time.Second)))
-	w.limited("h1")
+// A retry that the rate limit denies must not be charged to the retry budget.
+func TestRateLimit_DoesNotChargeDeniedRetries(t *testing.T) {
+	a, b := newEndpoint(t, events(1, 3, breakStream)), newEndpoint(t, events(4, 5, endStream))
+	w := newFixture(t, nil, []*endpoint{a, b})
+	w.useThrottle(throttle.NewTracker(denyPermits(10 * time.Second)))
+	w.setLimit("h1")
 	before := w.relay.options.Budget.State("llm", time.Now())
 	out := w.serve(request(hostStream))
-	require.True(t, out.cut)
-	require.Empty(t, b.arrivals())
+	require.True(t, out.aborted)
+	require.Empty(t, b.requests())
 	after := w.relay.options.Budget.State("llm", time.Now())
 	require.Equal(t, before.Retries, after.Retries)
 	require.InDelta(t, before.Slack, after.Slack, 0.01)
 }
 
-// endpointAnswer is what is known of the head of an answer.
+// endpointAnswer is what the header of a response states.
 type endpointAnswer struct {
 	signed bool
 	notRun bool
 	status int
 }
 
-// observe has the relay look at such an answer of an endpoint.
-func (a endpointAnswer) observe(w *world, e *serving.Endpoint) {
+// observe passes such a response to the relay.
+func (a endpointAnswer) observe(w *fixture, e *serving.Endpoint) {
 	c := &call{Relay: w.relay}
 	v := Verdict{Signed: a.signed, NotRun: a.notRun}
 	c.observe(target{Endpoint: e}, v, w.relay.options.Wire.Statement(a.status, nil), &activeRequest{sentAt: time.Now().Add(time.Millisecond)}, a.status)
 }
 
-// stating is a wire whose answers all say the same of their endpoints.
-type stating struct {
+// statementWire is a wire whose responses all contain the same statement.
+type statementWire struct {
 	testWire
 	statement advisory.Statement
 }
 
-func (w stating) Statement(int, http.Header) advisory.Statement { return w.statement }
+func (w statementWire) Statement(int, http.Header) advisory.Statement { return w.statement }
 
-// An answer tells of the limit also when it breaks off or says that the request did not run.
-func TestObserve_RateLimits(t *testing.T) {
+// Rate limits are also taken from rejections, but not from responses of other endpoints.
+func TestObserve_AppliesRateLimits(t *testing.T) {
 	tests := map[string]struct {
 		answer advisory.Advertised[float64]
 		before float64
@@ -98,36 +97,36 @@
 		status int
 		want   float64
 	}{
-		"named":                           {answer: advisory.Advertised[float64]{Value: 2}, signed: true, status: 200, want: 2},
-		"named by one that did not run":   {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 503, want: 2},
-		"named by another endpoint":       {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 421},
-		"named by nobody":                 {answer: advisory.Advertised[float64]{Value: 2}, status: 200},
+		"advertised":                           {answer: advisory.Advertised[float64]{Value: 2}, signed: true, status: 200, want: 2},
+		"advertised by a rejection":   {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 503, want: 2},
+		"advertised by another endpoint":       {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 421},
+		"advertised by an unsigned response":                 {answer: advisory.Advertised[float64]{Value: 2}, status: 200},
 		"changed":                         {answer: advisory.Advertised[float64]{Value: 2}, before: 5, signed: true, status: 200, want: 2},
-		"not named any more":              {before: 5, signed: true, status: 200},
-		"not named by another endpoint":   {before: 5, notRun: true, status: 421, want: 5},
-		"unreadable says nothing":         {answer: advisory.Advertised[float64]{Unreadable: "few"}, before: 5, signed: true, status: 200, want: 5},
-		"unreadable brings no limit":      {answer: advisory.Advertised[float64]{Unreadable: "few"}, signed: true, status: 200},
-		"not named by one that failed":    {before: 5, signed: true, status: 500},
-		"not named by one that is busy":   {before: 5, notRun: true, status: 503},
-		"not named by one that is no one": {before: 5, status: 200, want: 5},
+		"withdrawn":              {before: 5, signed: true, status: 200},
+		"not advertised by another endpoint":   {before: 5, notRun: true, status: 421, want: 5},
+		"unreadable keeps the limit":         {answer: advisory.Advertised[float64]{Unreadable: "few"}, before: 5, signed: true, status: 200, want: 5},
+		"unreadable sets no limit":      {answer: advisory.Advertised[float64]{Unreadable: "few"}, signed: true, status: 200},
+		"not advertised by a failure":    {before: 5, signed: true, status: 500},
+		"not advertised by a rejection":   {before: 5, notRun: true, status: 503},
+		"not advertised by an unsigned response": {before: 5, status: 200, want: 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil, []*endpoint{newEndpoint(t, hangUp)})
+			w := newFixture(t, nil, []*endpoint{newEndpoint(t, closeConn)})
 			e := w.view.Endpoints["h0"]
 			if test.before > 0 {
 				w.relay.options.Throttle.SetLimit(e.Incarnation(), test.before, time.Now())
 			}
-			w.relay.options.Wire = stating{statement: advisory.Statement{RateLimit: test.answer}}
+			w.relay.options.Wire = statementWire{statement: advisory.Statement{RateLimit: test.answer}}
 			endpointAnswer{test.signed, test.notRun, test.status}.observe(w, e)
 			require.InDelta(t, test.want, w.relay.options.Throttle.RateLimit(e.Incarnation()).PerSecond, 0)
 		})
 	}
 }
 
-// rejectedAtOnce sends a request, which must be rejected at once as not run, and returns its
+// rejectedAtOnce sends a request that must be rejected immediately as not run, and returns its
 // Retry-After.
-func (w *world) rejectedAtOnce(t *testing.T, host string) time.Duration {
+func (w *fixture) rejectedAtOnce(t *testing.T, host string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	out := w.serve(request(host))
@@ -138,7 +137,7 @@
 	return after
 }
 
-func (w *world) useThrottle(tracker *throttle.Tracker) {
+func (w *fixture) useThrottle(tracker *throttle.Tracker) {
 	w.relay.options.Throttle = tracker
 	w.relay.options.Balancer.SetHold(tracker.Hold)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -30,12 +30,12 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Every promise that is asserted in the program ends the tests when broken.
+// Violated invariants fail the tests.
 func init() { invariant.SetFatal(true) }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// testWire is a plain wire for tests.
+// testWire is a simple Wire.
 type testWire struct{}
 
 func (testWire) Attributes(h http.Header) (Attributes, error) {
@@ -83,27 +83,26 @@
 	return h
 }
 
-// recorder is a caller.
+// recorder is a Responder that records the response.
 type recorder struct {
-	status int
-	header http.Header
-	body   strings.Builder
-	ended  bool
-	cut    bool
+	status  int
+	header  http.Header
+	body    strings.Builder
+	ended   bool
+	aborted bool
 }
 
 func (r *recorder) Begin(status int, h http.Header) { r.status, r.header = status, h }
 func (r *recorder) Write(p []byte) error            { r.body.Write(p); return nil }
 func (r *recorder) End()                            { r.ended = true }
-func (r *recorder) Abort()                          { r.cut = true }
+func (r *recorder) Abort()                          { r.aborted = true }
 
-// endpoint is a scripted endpoint: each request that it reads takes the next
-// script, which writes whatever bytes it likes; the last one stays.
+// endpoint runs one script per request; the last script is repeated.
 type endpoint struct {
-	address string
-	mu      sync.Mutex
-	seen    []*http.Request
-	scripts []script
+	address  string
+	mu       sync.Mutex
+	received []*http.Request
+	scripts  []script
 }
 
 type script func(c net.Conn, r *http.Request)
@@ -137,47 +136,47 @@
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		e.mu.Lock()
-		run := e.scripts[min(len(e.seen), len(e.scripts)-1)]
-		e.seen = append(e.seen, r)
+		run := e.scripts[min(len(e.received), len(e.scripts)-1)]
+		e.received = append(e.received, r)
 		e.mu.Unlock()
 		run(c, r)
 	}
 }
 
-func (e *endpoint) arrivals() []*http.Request {
+func (e *endpoint) requests() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]*http.Request(nil), e.seen...)
+	return append([]*http.Request(nil), e.received...)
 }
 
-// head is the head of a signed answer to a request.
-func head(r *http.Request, status int) string {
+// responseHead returns the head of a signed response, without its end.
+func responseHead(r *http.Request, status int) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nId: %s\r\nSigned: yes\r\n", status, r.Header.Get("Id"))
 }
 
-func sized(status int, body string) script {
+func respondWith(status int, body string) script {
 	return func(c net.Conn, r *http.Request) {
-		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status), len(body), body)
+		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", responseHead(r, status), len(body), body)
 	}
 }
 
-func raw(format string) script {
+func respondRaw(format string) script {
 	return func(c net.Conn, r *http.Request) {
 		_, _ = io.WriteString(c, strings.ReplaceAll(format, "ID", r.Header.Get("Id")))
 		_ = c.Close()
 	}
 }
 
-func notRun(c net.Conn, r *http.Request) {
+func rejectNotRun(c net.Conn, r *http.Request) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 503 X\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 }
 
-func hangUp(c net.Conn, _ *http.Request) { _ = c.Close() }
+func closeConn(c net.Conn, _ *http.Request) { _ = c.Close() }
 
-// events streams the events from one id to another, and then runs the end.
+// events streams the events with the given IDs, and then calls end.
 func events(from, to int, end func(c net.Conn)) script {
 	return func(c net.Conn, r *http.Request) {
-		_, _ = io.WriteString(c, head(r, 200)+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+		_, _ = io.WriteString(c, responseHead(r, 200)+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for id := from; id <= to; id++ {
 			text := eventText(id)
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
@@ -188,21 +187,21 @@
 
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-func whole(c net.Conn) { _, _ = io.WriteString(c, "0\r\n\r\n") }
+func endStream(c net.Conn) { _, _ = io.WriteString(c, "0\r\n\r\n") }
 
-func broken(c net.Conn) { _ = c.Close() }
+func breakStream(c net.Conn) { _ = c.Close() }
 
-// brokenInside ends in the middle of an event.
-func brokenInside(c net.Conn) {
+// breakInsideEvent closes the connection in the middle of an event.
+func breakInsideEvent(c net.Conn) {
 	_, _ = io.WriteString(c, "6\r\nid: 9\n\r\n")
 	_ = c.Close()
 }
 
-// standstill says nothing more until its caller goes.
-func standstill(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }
+// stall sends nothing until the client closes the connection.
+func stall(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }
 
-// world is a relay before endpoints.
-type world struct {
+// fixture is a relay with its endpoints.
+type fixture struct {
 	relay *Relay
 	view  *directory.View
 }
@@ -214,23 +213,23 @@
 	hostSingle = "single"
 )
 
-func newWorld(t *testing.T, plain, heads []*endpoint) *world {
+func newFixture(t *testing.T, plain, heads []*endpoint) *fixture {
 	t.Helper()
 	engine := &serving.Engine{Slots: 8, StepTime: time.Millisecond, TokensPerSec: 1e6, Chunk: 1000, StepsPerPass: 1}
 	split := func(service string) []serving.Split { return []serving.Split{{Service: service, Weight: 1}} }
 	c := &serving.Configuration{
 		Version: 4,
 		Routes: []serving.Route{
-			{Name: "plain", Host: hostPlain, Prefix: "/", Kind: serving.KindRepeatable, Splits: split("shop"), Timeout: patience, MaxAttempts: 2},
-			{Name: "once", Host: hostOnce, Prefix: "/", Kind: serving.KindOnce, Splits: split("shop"), Timeout: patience, MaxAttempts: 2},
-			{Name: "stream", Host: hostStream, Prefix: "/", Kind: serving.KindStream, Resumable: true, Splits: split("llm"), Timeout: patience, MaxAttempts: 2},
-			{Name: "single", Host: hostSingle, Prefix: "/", Kind: serving.KindStream, Splits: split("llm"), Timeout: patience, MaxAttempts: 2},
+			{Name: "plain", Host: hostPlain, Prefix: "/", Kind: serving.KindRepeatable, Splits: split("shop"), Timeout: testTimeout, MaxAttempts: 2},
+			{Name: "once", Host: hostOnce, Prefix: "/", Kind: serving.KindOnce, Splits: split("shop"), Timeout: testTimeout, MaxAttempts: 2},
+			{Name: "stream", Host: hostStream, Prefix: "/", Kind: serving.KindStream, Resumable: true, Splits: split("llm"), Timeout: testTimeout, MaxAttempts: 2},
+			{Name: "single", Host: hostSingle, Prefix: "/", Kind: serving.KindStream, Splits: split("llm"), Timeout: testTimeout, MaxAttempts: 2},
 		},
 		Services:   map[string]serving.Service{"shop": {Name: "shop"}, "llm": {Name: "llm", Engine: engine}},
 		Workspaces: map[string]serving.Workspace{"secret": {Name: "bakery"}},
 	}
 	c.Index()
-	w := &world{view: &directory.View{Configuration: c, Endpoints: map[serving.EndpointID]*serving.Endpoint{}, Plain: map[string][]*serving.Endpoint{}, Heads: map[directory.Pool][]*directory.Head{}}}
+	w := &fixture{view: &directory.View{Configuration: c, Endpoints: map[serving.EndpointID]*serving.Endpoint{}, Plain: map[string][]*serving.Endpoint{}, Heads: map[directory.Pool][]*directory.Head{}}}
 	for i, e := range plain {
 		w.view.Plain["shop"] = append(w.view.Plain["shop"], w.endpoint(fmt.Sprintf("p%d", i), e))
 	}
@@ -240,7 +239,7 @@
 	}
 	m := metrics.New("n", "north")
 	t.Cleanup(m.Close)
-	balancer := NewBalancer("north", highest{}, DefaultWeights)
+	balancer := NewBalancer("north", maxSource{}, DefaultWeights)
 	balancer.weights.DrawPower = math.Inf(1)
 	w.relay = New(Options{
 		DataCentre:  "north",
@@ -249,7 +248,7 @@
 		View:        func() *directory.View { return w.view },
 		Balancer:    balancer,
 		Demand:      NewDemand(),
-		Budget:      oldBudget(0.2, 1000, 1),
+		Budget:      agedBudget(0.2, 1000, 1),
 		Quarantine:  quarantine.NewQuarantine(func() bool { return false }),
 		Throttle:    throttle.NewTracker(throttle.Options{}),
 		Clock:       clock.New(),
@@ -260,13 +259,12 @@
 	return w
 }
 
-// highest is a source by which a balancer without chance draws the first of
-// the best groups.
-type highest struct{}
+// maxSource makes a balancer with an infinite DrawPower draw the first of the best groups.
+type maxSource struct{}
 
-func (highest) Uint64() uint64 { return math.MaxUint64 }
+func (maxSource) Uint64() uint64 { return math.MaxUint64 }
 
-func (w *world) endpoint(id string, e *endpoint) *serving.Endpoint {
+func (w *fixture) endpoint(id string, e *endpoint) *serving.Endpoint {
 	out := &serving.Endpoint{ID: serving.EndpointID(id), Address: e.address, DataCentre: "north", Slots: 8}
 	w.view.Endpoints[out.ID] = out
 	return out
@@ -279,19 +277,18 @@
 	}
 }
 
-func (w *world) serve(in *Request) *recorder {
+func (w *fixture) serve(in *Request) *recorder {
 	out := &recorder{}
 	w.relay.Serve(context.Background(), in, out)
 	return out
 }
 
-// A node that has just started refused what came before it had read the endpoints, and
-// the callers that came back were late.
-func TestARequestWaitsForWhatAStartingNodeReads(t *testing.T) {
-	w := newWorld(t, []*endpoint{newEndpoint(t, sized(200, "good"))}, nil)
-	known, looks := atomic.Bool{}, atomic.Int64{}
+// Guards against a node that has just started rejecting requests before it has read the endpoints.
+func TestServe_WaitsForInitialView(t *testing.T) {
+	w := newFixture(t, []*endpoint{newEndpoint(t, respondWith(200, "good"))}, nil)
+	known, views := atomic.Bool{}, atomic.Int64{}
 	w.relay.options.View = func() *directory.View {
-		looks.Add(1)
+		views.Add(1)
 		if known.Load() {
 			return w.view
 		}
@@ -303,13 +300,13 @@
 	known.Store(false)
 	require.Equal(t, 503, w.serve(request(hostPlain)).status, "the wait is bounded")
 	w.relay.startedAt = time.Now().Add(-2 * startupPeriod)
-	looks.Store(0)
+	views.Store(0)
 	require.Equal(t, 503, w.serve(request(hostPlain)).status)
-	require.LessOrEqual(t, looks.Load(), int64(2), "what is not known long after the start is refused at once")
+	require.LessOrEqual(t, views.Load(), int64(2), "after the startup period the request is rejected immediately")
 }
 
-func TestAnswersOfPlainServices(t *testing.T) {
-	good := sized(200, "good")
+func TestServe_PlainServices(t *testing.T) {
+	good := respondWith(200, "good")
 	for _, test := range []struct {
 		name   string
 		host   string
@@ -317,35 +314,34 @@
 		status int
 		body   string
 		signed bool
-		// arrivals is at both endpoints together.
+		// arrivals counts requests at both endpoints.
 		arrivals int
 	}{
-		{"whole", hostPlain, good, 200, "good", true, 1},
-		{"whole, once", hostOnce, good, 200, "good", true, 1},
-		{"not run goes elsewhere", hostPlain, notRun, 200, "good", true, 2},
-		{"not run goes elsewhere, once", hostOnce, notRun, 200, "good", true, 2},
-		{"hung up is sent again", hostPlain, hangUp, 200, "good", true, 2},
-		{"hung up is unknown, once", hostOnce, hangUp, 502, "", false, 1},
-		{"broken off is sent again", hostPlain, raw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Length: 9\r\n\r\ngoo"), 200, "good", true, 2},
-		{"broken off is unknown, once", hostOnce, raw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Length: 9\r\n\r\ngoo"), 502, "", false, 1},
-		{"unsigned success is none", hostPlain, raw("HTTP/1.1 200 X\r\nId: ID\r\nContent-Length: 3\r\n\r\nbad"), 200, "good", true, 2},
-		{"unsigned success is none, once", hostOnce, raw("HTTP/1.1 200 X\r\nId: ID\r\nContent-Length: 3\r\n\r\nbad"), 502, "", false, 1},
-		{"another request's answer", hostOnce, raw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad"), 502, "", false, 1},
-		{"no answer in the protocol", hostOnce, raw("!!! nothing\r\n\r\n"), 502, "", false, 1},
-		{"an encoded body is not the endpoint's", hostOnce, raw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\nbad"), 502, "", false, 1},
-		{"a failure is sent again", hostPlain, sized(500, "oh"), 200, "good", true, 2},
-		{"a failure keeps its status and signature, once", hostOnce, sized(500, "oh"), 500, "oh", true, 1},
-		{"a signed 503 has run and promises nothing", hostOnce, sized(503, "oh"), 502, "", false, 1},
-		{"a surplus answer comes first", hostOnce, raw("HTTP/1.1 200 X\r\nId: earlier\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad" +
+		{"complete", hostPlain, good, 200, "good", true, 1},
+		{"complete, once", hostOnce, good, 200, "good", true, 1},
+		{"not run, retried", hostPlain, rejectNotRun, 200, "good", true, 2},
+		{"not run, retried, once", hostOnce, rejectNotRun, 200, "good", true, 2},
+		{"closed connection, retried", hostPlain, closeConn, 200, "good", true, 2},
+		{"closed connection, once", hostOnce, closeConn, 502, "", false, 1},
+		{"interrupted, retried", hostPlain, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Length: 9\r\n\r\ngoo"), 200, "good", true, 2},
+		{"interrupted, once", hostOnce, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Length: 9\r\n\r\ngoo"), 502, "", false, 1},
+		{"unsigned success, retried", hostPlain, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nContent-Length: 3\r\n\r\nbad"), 200, "good", true, 2},
+		{"unsigned success, once", hostOnce, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nContent-Length: 3\r\n\r\nbad"), 502, "", false, 1},
+		{"response to another request", hostOnce, respondRaw("HTTP/1.1 200 X\r\nId: other\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad"), 502, "", false, 1},
+		{"malformed response", hostOnce, respondRaw("!!! nothing\r\n\r\n"), 502, "", false, 1},
+		{"encoded body is not from the endpoint", hostOnce, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\nbad"), 502, "", false, 1},
+		{"failure, retried", hostPlain, respondWith(500, "oh"), 200, "good", true, 2},
+		{"failure keeps its status and signature, once", hostOnce, respondWith(500, "oh"), 500, "oh", true, 1},
+		{"signed 503 has run, once", hostOnce, respondWith(503, "oh"), 502, "", false, 1},
+		{"surplus response before the right one", hostOnce, respondRaw("HTTP/1.1 200 X\r\nId: earlier\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad" +
 			"HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Length: 4\r\n\r\ngood"), 200, "good", true, 1},
-		{"without a length, ended", hostOnce, raw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\n\r\ngood"), 200, "good", true, 1},
+		{"without a length", hostOnce, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\n\r\ngood"), 200, "good", true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			// Either may be the first to be chosen; both play the same script
-			// first, unless a second try has to succeed.
+			// Either endpoint may be chosen first; the first request runs the script under test.
 			var mu sync.Mutex
 			count := 0
-			play := func(c net.Conn, r *http.Request) {
+			run := func(c net.Conn, r *http.Request) {
 				mu.Lock()
 				count++
 				first := count == 1
@@ -356,15 +352,15 @@
 				}
 				good(c, r)
 			}
-			a, b := newEndpoint(t, play), newEndpoint(t, play)
-			out := newWorld(t, []*endpoint{a, b}, nil).serve(request(test.host))
+			a, b := newEndpoint(t, run), newEndpoint(t, run)
+			out := newFixture(t, []*endpoint{a, b}, nil).serve(request(test.host))
 			require.Equal(t, test.status, out.status)
 			require.True(t, out.ended)
 			require.Equal(t, test.signed, out.header.Get("Signed") != "")
 			if test.body != "" {
 				require.Equal(t, test.body, out.body.String())
 			}
-			arrivals := append(a.arrivals(), b.arrivals()...)
+			arrivals := append(a.requests(), b.requests()...)
 			require.Len(t, arrivals, test.arrivals)
 			for _, r := range arrivals {
 				require.Equal(t, "/a?b=c", r.RequestURI)
@@ -377,7 +373,7 @@
 	}
 }
 
-func TestNothingRunsThatTheConfigurationDoesNotAllow(t *testing.T) {
+func TestServe_RejectsInvalidRequests(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Request)
@@ -389,55 +385,53 @@
 		{"no id", func(r *Request) { r.Header.Del("Id") }, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			e := newEndpoint(t, sized(200, "good"))
+			e := newEndpoint(t, respondWith(200, "good"))
 			in := request(hostPlain)
 			test.change(in)
-			out := newWorld(t, []*endpoint{e}, nil).serve(in)
+			out := newFixture(t, []*endpoint{e}, nil).serve(in)
 			require.Equal(t, test.status, out.status)
-			require.Empty(t, e.arrivals())
+			require.Empty(t, e.requests())
 		})
 	}
 }
 
-func TestWithoutAConfigurationNothingIsSaidOfRoutes(t *testing.T) {
-	w := newWorld(t, nil, nil)
+func TestServe_UnavailableWithoutConfiguration(t *testing.T) {
+	w := newFixture(t, nil, nil)
 	w.view = &directory.View{}
 	out := w.serve(request(hostPlain))
 	require.Equal(t, 503, out.status)
 	require.NotEmpty(t, out.header.Get("After"))
 }
 
-// Endpoints that turn a request down do not use its attempts up, and a member
-// at fault is passed over by its address as well: streams were cut after one group
-// had turned them down.
-func TestEndpointsThatDidNotRunItUseNoAttemptUp(t *testing.T) {
+// Rejections by endpoints must not use up attempts, and the faulty member that one names becomes
+// suspect.
+func TestServe_RejectionsUseNoAttempts(t *testing.T) {
 	down := newEndpoint(t, func(c net.Conn, r *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 503 X\r\nId: %s\r\nNot-Run: 1\r\nAt-Fault: 10.9.9.9:1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 	})
-	first := newEndpoint(t, events(1, 2, broken))
-	last := newEndpoint(t, events(3, 5, whole))
-	w := newWorld(t, nil, []*endpoint{first, down, last})
+	first := newEndpoint(t, events(1, 2, breakStream))
+	last := newEndpoint(t, events(3, 5, endStream))
+	w := newFixture(t, nil, []*endpoint{first, down, last})
 	w.view.Endpoints["faulty"] = &serving.Endpoint{ID: "faulty", Address: "10.9.9.9:1"}
-	// The one that breaks off is sent to first, then the one that turns down.
+	// The interrupted attempt comes first, then the rejection.
 	heads := w.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
 	heads[1].DataCentre, heads[2].DataCentre = "south", "south"
 	for range 3 {
 		w.relay.options.Balancer.begin(heads[2].Endpoint, RequestSize{Prompt: 100}, time.Now())
 	}
 	out := w.serve(request(hostStream))
-	require.Equal(t, wantEvents(1, 5), out.body.String())
+	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
-	require.Len(t, first.arrivals(), 1)
-	require.Len(t, down.arrivals(), 1)
-	require.Len(t, last.arrivals(), 1)
+	require.Len(t, first.requests(), 1)
+	require.Len(t, down.requests(), 1)
+	require.Len(t, last.requests(), 1)
 	require.Contains(t, w.relay.options.Balancer.Suspects(time.Now()), serving.EndpointID("faulty"))
 }
 
-// A stopping node took new requests until its process was ended, and callers lost
-// those that were under way then.
-func TestAStoppingNodeRefusesWhatItCannotFinish(t *testing.T) {
-	e := newEndpoint(t, sized(200, "good"))
-	w := newWorld(t, []*endpoint{e}, nil)
+// Guards against a draining node accepting requests that it cannot finish.
+func TestDrain_RejectsNewRequests(t *testing.T) {
+	e := newEndpoint(t, respondWith(200, "good"))
+	w := newFixture(t, []*endpoint{e}, nil)
 	w.relay.CloseConnections()
 	out := w.serve(request(hostOnce))
 	require.Equal(t, 200, out.status)
@@ -447,10 +441,10 @@
 	require.Equal(t, 503, out.status)
 	require.Equal(t, "close", out.header.Get("Connection"))
 	require.NotEmpty(t, out.header.Get("After"))
-	require.Len(t, e.arrivals(), 1)
+	require.Len(t, e.requests(), 1)
 }
 
-func wantEvents(from, to int) string {
+func eventsText(from, to int) string {
 	var text strings.Builder
 	for id := from; id <= to; id++ {
 		text.WriteString(eventText(id))
@@ -458,7 +452,7 @@
 	return text.String()
 }
 
-func TestStreams(t *testing.T) {
+func TestServe_Streams(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		host   string
@@ -466,27 +460,27 @@
 		second script
 		status int
 		body   string
-		// complete is whether the answer looks whole to the caller.
+		// complete is whether the response views complete to the client.
 		complete bool
 		arrivals int
-		// last is the event after which the second try goes on.
+		// last is the event after which the second attempt resumes.
 		last string
 	}{
-		{"whole", hostStream, events(1, 5, whole), nil, 200, wantEvents(1, 5), true, 1, ""},
-		{"resumed after a break", hostStream, events(1, 3, broken), events(4, 5, whole), 200, wantEvents(1, 5), true, 2, "3"},
-		{"resumed after a part of an event", hostStream, events(1, 3, brokenInside), events(4, 5, whole), 200, wantEvents(1, 5), true, 2, "3"},
-		{"resumed after a standstill", hostStream, events(1, 3, standstill), events(4, 5, whole), 200, wantEvents(1, 5), true, 2, "3"},
-		{"broken before its first event", hostStream, hangUp, events(1, 2, whole), 200, wantEvents(1, 2), true, 2, ""},
-		{"broken twice does not look whole", hostStream, events(1, 3, broken), events(4, 4, broken), 200, wantEvents(1, 4), false, 2, "3"},
-		{"an event twice is not passed on", hostStream, events(1, 3, broken), events(3, 5, whole), 200, wantEvents(1, 3), false, 2, "3"},
-		{"not run goes elsewhere", hostStream, notRun, events(1, 2, whole), 200, wantEvents(1, 2), true, 2, ""},
-		{"a broken one that may run once is left alone", hostSingle, events(1, 3, broken), events(4, 5, whole), 200, wantEvents(1, 3), false, 1, ""},
-		{"one that may run once, hung up", hostSingle, hangUp, events(1, 2, whole), 502, "", true, 1, ""},
+		{"complete", hostStream, events(1, 5, endStream), nil, 200, eventsText(1, 5), true, 1, ""},
+		{"resumed after an interruption", hostStream, events(1, 3, breakStream), events(4, 5, endStream), 200, eventsText(1, 5), true, 2, "3"},
+		{"resumed after a partial event", hostStream, events(1, 3, breakInsideEvent), events(4, 5, endStream), 200, eventsText(1, 5), true, 2, "3"},
+		{"resumed after a stall", hostStream, events(1, 3, stall), events(4, 5, endStream), 200, eventsText(1, 5), true, 2, "3"},
+		{"interrupted before the first event", hostStream, closeConn, events(1, 2, endStream), 200, eventsText(1, 2), true, 2, ""},
+		{"interrupted twice, incomplete", hostStream, events(1, 3, breakStream), events(4, 4, breakStream), 200, eventsText(1, 4), false, 2, "3"},
+		{"repeated event is not relayed", hostStream, events(1, 3, breakStream), events(3, 5, endStream), 200, eventsText(1, 3), false, 2, "3"},
+		{"not run, retried", hostStream, rejectNotRun, events(1, 2, endStream), 200, eventsText(1, 2), true, 2, ""},
+		{"not resumable, interrupted", hostSingle, events(1, 3, breakStream), events(4, 5, endStream), 200, eventsText(1, 3), false, 1, ""},
+		{"not resumable, connection closed", hostSingle, closeConn, events(1, 2, endStream), 502, "", true, 1, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var mu sync.Mutex
 			count := 0
-			play := func(c net.Conn, r *http.Request) {
+			run := func(c net.Conn, r *http.Request) {
 				mu.Lock()
 				count++
 				number := count
@@ -497,15 +491,15 @@
 				}
 				test.second(c, r)
 			}
-			a, b := newEndpoint(t, play), newEndpoint(t, play)
-			out := newWorld(t, nil, []*endpoint{a, b}).serve(request(test.host))
+			a, b := newEndpoint(t, run), newEndpoint(t, run)
+			out := newFixture(t, nil, []*endpoint{a, b}).serve(request(test.host))
 			require.Equal(t, test.status, out.status)
 			require.Equal(t, test.complete, out.ended)
-			require.Equal(t, !test.complete, out.cut)
+			require.Equal(t, !test.complete, out.aborted)
 			if test.body != "" {
 				require.Equal(t, test.body, out.body.String())
 			}
-			arrivals := append(a.arrivals(), b.arrivals()...)
+			arrivals := append(a.requests(), b.requests()...)
 			require.Len(t, arrivals, test.arrivals)
 			for _, r := range arrivals {
 				if r.Header.Get("Last") != "" {
@@ -517,12 +511,11 @@
 	}
 }
 
-// A stream whose group died while all others were full or being repaired was
-// cut at once.
-func TestABrokenStreamWaitsForAGroup(t *testing.T) {
-	a := newEndpoint(t, events(1, 3, broken))
-	b := newEndpoint(t, events(4, 5, whole))
-	w := newWorld(t, nil, []*endpoint{a, b})
+// A stream whose group crashed waits for another group instead of failing immediately.
+func TestServe_InterruptedStreamWaitsForGroup(t *testing.T) {
+	a := newEndpoint(t, events(1, 3, breakStream))
+	b := newEndpoint(t, events(4, 5, endStream))
+	w := newFixture(t, nil, []*endpoint{a, b})
 	pool := directory.Pool{Service: "llm", Model: "m"}
 	both := w.view.Heads[pool]
 	w.view.Heads[pool] = both[:1]
@@ -534,7 +527,7 @@
 		return &view
 	}
 	go func() {
-		for len(a.arrivals()) == 0 {
+		for len(a.requests()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -543,17 +536,17 @@
 		w.view = &directory.View{Configuration: w.view.Configuration, Heads: map[directory.Pool][]*directory.Head{pool: both}}
 	}()
 	out := w.serve(request(hostStream))
-	require.Equal(t, wantEvents(1, 5), out.body.String())
+	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
 }
 
-func TestACallerThatLeavesEndsTheRun(t *testing.T) {
-	gone := make(chan struct{})
+func TestServe_ClientDisconnectCancelsAttempt(t *testing.T) {
+	disconnected := make(chan struct{})
 	e := newEndpoint(t, events(1, 1, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 1))
-		close(gone)
+		close(disconnected)
 	}))
-	w := newWorld(t, nil, []*endpoint{e})
+	w := newFixture(t, nil, []*endpoint{e})
 	ctx, cancel := context.WithCancelCause(context.Background())
 	out := &recorder{}
 	done := make(chan struct{})
@@ -561,63 +554,61 @@
 		defer close(done)
 		w.relay.Serve(ctx, request(hostStream), out)
 	}()
-	for len(e.arrivals()) == 0 {
+	for len(e.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel(httpserver.ErrClientGone)
-	<-gone
+	<-disconnected
 	<-done
-	require.True(t, out.cut)
-	require.Len(t, e.arrivals(), 1)
+	require.True(t, out.aborted)
+	require.Len(t, e.requests(), 1)
 }
 
-func TestADeadlineEndsARequestWithWhatIsKnown(t *testing.T) {
-	hang := func(c net.Conn, _ *http.Request) { standstill(c) }
+func TestServe_DeadlineStatus(t *testing.T) {
+	hang := func(c net.Conn, _ *http.Request) { stall(c) }
 	for _, test := range []struct {
 		name   string
 		heads  []*endpoint
 		status int
 	}{
 		{"it may have run", []*endpoint{newEndpoint(t, hang)}, 504},
-		{"nobody could run it", nil, 503},
+		{"no endpoint ran it", nil, 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			in := request(hostSingle)
 			in.Header.Set("Left", "200")
-			out := newWorld(t, nil, test.heads).serve(in)
+			out := newFixture(t, nil, test.heads).serve(in)
 			require.Equal(t, test.status, out.status)
 		})
 	}
 }
 
-// A stream that an endpoint ended at the deadline it was given went to another
-// one, 2 ms before its caller left.
-func TestNothingIsSentWhenTheTimeIsAsGoodAsOver(t *testing.T) {
-	e := newEndpoint(t, events(1, 5, whole))
-	w := newWorld(t, nil, []*endpoint{e})
+// Guards against an attempt that its client can't wait for.
+func TestServe_SendsNothingNearDeadline(t *testing.T) {
+	e := newEndpoint(t, events(1, 5, endStream))
+	w := newFixture(t, nil, []*endpoint{e})
 	in := request(hostStream)
 	in.Header.Set("Left", "15")
 	out := w.serve(in)
 	require.Equal(t, 503, out.status)
-	require.Empty(t, e.arrivals())
+	require.Empty(t, e.requests())
 }
 
-// A connection notices its deadline before the request's context does: the
-// answer was 502 then, and a stream was sent once more with no time left. Found
-// by CI beside busy processes.
-func TestADeadlineThatOnlyTheConnectionHasNoticed(t *testing.T) {
-	w := newWorld(t, nil, nil)
+// A connection may notice the deadline before the context does. The request must end with 504 and
+// not be retried.
+func TestFinishIfDone_ChecksDeadline(t *testing.T) {
+	w := newFixture(t, nil, nil)
 	out := &recorder{}
 	route := w.view.Configuration.Match(hostOnce, "/")
 	c := &call{Relay: w.relay, out: out, view: w.view, route: route, in: request(hostOnce), start: time.Now(), deadline: time.Now(), mayHaveRun: true}
 	require.Equal(t, resultDone, c.finishIfDone(context.Background(), resultIncomplete))
 	require.Equal(t, 504, out.status)
 
-	c = &call{Relay: w.relay, out: &recorder{}, view: w.view, route: route, deadline: time.Now().Add(patience), mayHaveRun: true}
+	c = &call{Relay: w.relay, out: &recorder{}, view: w.view, route: route, deadline: time.Now().Add(testTimeout), mayHaveRun: true}
 	require.Equal(t, resultIncomplete, c.finishIfDone(context.Background(), resultIncomplete))
 }
 
-func TestEventsAreReadWhole(t *testing.T) {
+func TestEventReader_ReadsCompleteEvents(t *testing.T) {
 	r := newEventReader(strings.NewReader("\n\nid: 1\ndata: a\n\n: comment\ndata: b\n\nid: 2\nda"))
 	e, err := r.next()
 	require.NoError(t, err)
@@ -630,9 +621,9 @@
 	require.ErrorIs(t, err, errPartialEvent)
 }
 
-// What callers ask for counts also when it is refused.
-func TestWhatIsRefusedCountsAsDemand(t *testing.T) {
-	w := newWorld(t, nil, nil)
+// Rejected requests count towards demand.
+func TestDemand_CountsRejectedRequests(t *testing.T) {
+	w := newFixture(t, nil, nil)
 	w.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, Pace: 1}}
 	in := request(hostStream)
 	in.Header.Set("Prompt", "100000")
@@ -640,16 +631,16 @@
 	require.Positive(t, w.relay.options.Demand.Rates(time.Now())[directory.Pool{Service: "llm", Model: "m"}].Groups)
 }
 
-// A stream that gets nothing on its connection goes on at another group, and no doubt
-// falls on the head that gives others their events.
-func TestAStreamOnASilentConnectionGoesOnElsewhere(t *testing.T) {
-	first := newEndpoint(t, events(1, 2, standstill))
-	second := newEndpoint(t, events(3, 5, whole))
-	w := newWorld(t, nil, []*endpoint{first, second})
+// A stream on a silent connection is resumed at another group, and its head does not become suspect
+// while it sends events to others.
+func TestServe_ResumesStreamOnSilentConnection(t *testing.T) {
+	first := newEndpoint(t, events(1, 2, stall))
+	second := newEndpoint(t, events(3, 5, endStream))
+	w := newFixture(t, nil, []*endpoint{first, second})
 	heads := w.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
 	other := w.relay.options.Balancer.begin(heads[0].Endpoint, RequestSize{Prompt: 1}, time.Now())
 	defer other.end()
-	// The second head has more under way, so the first is chosen.
+	// The second head has a higher load, so the first is chosen.
 	w.relay.options.Balancer.begin(heads[1].Endpoint, RequestSize{Prompt: 1000}, time.Now())
 	done := make(chan struct{})
 	stopped := make(chan struct{})
@@ -667,22 +658,21 @@
 	out := w.serve(request(hostStream))
 	close(done)
 	<-stopped
-	require.Equal(t, wantEvents(1, 5), out.body.String())
+	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
 	require.Empty(t, w.relay.options.Balancer.Suspects(time.Now()))
 }
 
-// A stream breaks off while the machine is suspended, and its caller's time runs out meanwhile.
-// By the monotonic clock there was time left: the request was sent on, with more time than its
-// caller had.
-func TestNothingIsSentOnceMoreToACallerThatWaitedThroughASuspension(t *testing.T) {
+// A client's deadline passes while the machine is suspended; the monotonic clock does not show it.
+// The request must not be retried.
+func TestServe_SuspensionCountsTowardsDeadline(t *testing.T) {
 	var suspended atomic.Int64
 	first := newEndpoint(t, func(c net.Conn, r *http.Request) {
 		suspended.Store(int64(15 * time.Second))
-		events(1, 1, broken)(c, r)
+		events(1, 1, breakStream)(c, r)
 	})
-	second := newEndpoint(t, events(2, 3, whole))
-	w := newWorld(t, nil, []*endpoint{first, second})
+	second := newEndpoint(t, events(2, 3, endStream))
+	w := newFixture(t, nil, []*endpoint{first, second})
 	began := time.Now()
 	running := func() time.Duration { return time.Since(began) }
 	boot := func() (time.Duration, error) { return running() + time.Duration(suspended.Load()), nil }
@@ -690,15 +680,15 @@
 	in := request(hostStream)
 	in.Header.Set("Left", "12000")
 	out := w.serve(in)
-	require.True(t, out.cut)
-	require.Empty(t, second.arrivals())
+	require.True(t, out.aborted)
+	require.Empty(t, second.requests())
 
 	suspended.Store(0)
 	w.relay.options.Clock = clock.NewFromSources(boot, running)
 	in.Header.Set("Left", "20000")
 	out = w.serve(in)
 	require.True(t, out.ended, "five seconds are left")
-	left, err := strconv.Atoi(second.arrivals()[0].Header.Get("Left"))
+	left, err := strconv.Atoi(second.requests()[0].Header.Get("Left"))
 	require.NoError(t, err)
 	require.LessOrEqual(t, left, 5000)
 }
