--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -126,34 +126,34 @@
 		require.NotNil(t, head)
 		return head
 	}
-	remoteTries := func(requests int) (tries int, last *directory.Head) {
+	remoteAttempts := func(requests int) (attempts int, last *directory.Head) {
 		for range requests {
 			if head := choose(); head.DataCentre == "south" {
-				tries++
+				attempts++
 				last = head
 			}
 		}
-		return tries, last
+		return attempts, last
 	}
-	remoteTries(1)
+	remoteAttempts(1)
 	for _, id := range []serving.EndpointID{"1", "2"} {
 		b.Suspect(id, now)
 	}
-	tries, _ := remoteTries(200)
-	require.Zero(t, tries)
+	attempts, _ := remoteAttempts(200)
+	require.Zero(t, attempts)
 	now = now.Add(unreachableRetry + time.Millisecond)
-	tries, head := remoteTries(200)
-	require.Equal(t, 1, tries)
+	attempts, head := remoteAttempts(200)
+	require.Equal(t, 1, attempts)
 	b.Suspect(head.ID, now)
 	now = now.Add(unreachableRetry + time.Millisecond)
-	tries, _ = remoteTries(200)
-	require.Zero(t, tries, "the second delay is longer")
+	attempts, _ = remoteAttempts(200)
+	require.Zero(t, attempts, "the second delay is longer")
 	now = now.Add(unreachableRetry + time.Millisecond)
-	tries, head = remoteTries(200)
-	require.Equal(t, 1, tries)
+	attempts, head = remoteAttempts(200)
+	require.Equal(t, 1, attempts)
 	b.begin(head.Endpoint, RequestSize{}, now).recordEvent(now)
-	tries, _ = remoteTries(200)
-	require.Greater(t, tries, 50)
+	attempts, _ = remoteAttempts(200)
+	require.Greater(t, attempts, 50)
 }
 
 func newHead(id string, epoch uint64) *directory.Head {
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -38,7 +38,7 @@
 // loadPattern returns the factor by which the load is multiplied at a step.
 type loadPattern func(step int) int
 
-// burstLoad triples the load for three of every eight seconds.
+// steadyLoad and burstLoad are load patterns; burstLoad triples the load for three of every eight seconds.
 func steadyLoad(int) int { return 1 }
 
 func burstLoad(step int) int {
@@ -64,7 +64,7 @@
 var nineNodes = cluster{nodes: testNodes, stepsPerRequest: 1, retryFraction: 1}
 
 // simulate runs a cluster whose nodes crash by a schedule and retry what they may from second 12 on.
-func simulate(seed uint64, c cluster, load loadPattern, crashed crashSchedule) *retrylog.Log {
+func simulate(seed uint64, c cluster, pattern loadPattern, crashed crashSchedule) *retrylog.Log {
 	random := rand.New(rand.NewPCG(seed, 0))
 	chance := rand.New(rand.NewPCG(seed, 1))
 	begin := func() *Budget {
@@ -74,7 +74,7 @@
 	}
 	log := &retrylog.Log{}
 	budgets := make([]*Budget, c.nodes)
-	down := make([]time.Time, c.nodes)
+	crashedAt := make([]time.Time, c.nodes)
 	for node := range budgets {
 		budgets[node] = begin()
 	}
@@ -84,15 +84,15 @@
 		for node := range budgets {
 			switch {
 			case crashed(random, step, node):
-				budgets[node], down[node] = nil, now
-			case budgets[node] == nil && now.Sub(down[node]) >= restartDelay:
+				budgets[node], crashedAt[node] = nil, now
+			case budgets[node] == nil && now.Sub(crashedAt[node]) >= restartDelay:
 				budgets[node] = begin()
 			}
 			budget := budgets[node]
 			if budget == nil || c.stepsPerRequest > 1 && random.IntN(c.stepsPerRequest) > 0 {
 				continue
 			}
-			for range load(step) * random.IntN(maxRequestsPerStep+1) {
+			for range pattern(step) * random.IntN(maxRequestsPerStep+1) {
 				budget.RecordRequest("llm", now)
 				log.Request(now)
 				wanted := c.retryFraction >= 1 || random.Float64() < c.retryFraction
@@ -116,9 +116,9 @@
 func TestBudget_GrantsRetriesAtManyNodes(t *testing.T) {
 	manyNodes := cluster{nodes: 300, stepsPerRequest: 20, retryFraction: 0.05}
 	for _, test := range []struct {
-		name   string
-		crashed crashSchedule
-		minFraction  float64
+		name        string
+		crashed     crashSchedule
+		minFraction float64
 	}{
 		{"aged processes", noCrashes, 0.6},
 		{"all crash at the start", allCrashAt(stepAt(11 * time.Second)), 0.5},
@@ -143,9 +143,9 @@
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d nodes, seed %d", c.nodes, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					for _, load := range []loadPattern{steadyLoad, burstLoad} {
+					for _, pattern := range []loadPattern{steadyLoad, burstLoad} {
 						for _, crashed := range []crashSchedule{noCrashes, allCrashAt(stepAt(17 * time.Second))} {
-							worst := simulate(seed, c, load, crashed).Worst(testBudget)
+							worst := simulate(seed, c, pattern, crashed).Worst(testBudget)
 							require.Less(t, worst.Excess(), -0.05*worst.Allowed, "%s: the margin is much larger than random variation", worst)
 						}
 					}
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, test := range []struct {
-		name   string
+		name    string
 		crashed crashSchedule
 	}{
 		{"none", all()},
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -135,7 +135,7 @@
 		"rejection":              {endpointAnswer{notRun: true, status: 503}, throttle.HoldDraining},
 		"failure":                {endpointAnswer{signed: true, status: 500}, throttle.HoldDraining},
 		"misdirected":            {endpointAnswer{notRun: true, status: 421}, throttle.HoldNone},
-		"unsigned":              {endpointAnswer{status: 503}, throttle.HoldNone},
+		"unsigned":               {endpointAnswer{status: 503}, throttle.HoldNone},
 		"misdirected yet signed": {endpointAnswer{signed: true, status: 421}, throttle.HoldNone},
 	}
 	for name, test := range tests {
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -97,17 +97,17 @@
 		status int
 		want   float64
 	}{
-		"advertised":                           {answer: advisory.Advertised[float64]{Value: 2}, signed: true, status: 200, want: 2},
-		"advertised by a rejection":   {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 503, want: 2},
-		"advertised by another endpoint":       {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 421},
-		"advertised by an unsigned response":                 {answer: advisory.Advertised[float64]{Value: 2}, status: 200},
-		"changed":                         {answer: advisory.Advertised[float64]{Value: 2}, before: 5, signed: true, status: 200, want: 2},
-		"withdrawn":              {before: 5, signed: true, status: 200},
-		"not advertised by another endpoint":   {before: 5, notRun: true, status: 421, want: 5},
-		"unreadable keeps the limit":         {answer: advisory.Advertised[float64]{Unreadable: "few"}, before: 5, signed: true, status: 200, want: 5},
-		"unreadable sets no limit":      {answer: advisory.Advertised[float64]{Unreadable: "few"}, signed: true, status: 200},
-		"not advertised by a failure":    {before: 5, signed: true, status: 500},
-		"not advertised by a rejection":   {before: 5, notRun: true, status: 503},
+		"advertised":                             {answer: advisory.Advertised[float64]{Value: 2}, signed: true, status: 200, want: 2},
+		"advertised by a rejection":              {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 503, want: 2},
+		"advertised by another endpoint":         {answer: advisory.Advertised[float64]{Value: 2}, notRun: true, status: 421},
+		"advertised by an unsigned response":     {answer: advisory.Advertised[float64]{Value: 2}, status: 200},
+		"changed":                                {answer: advisory.Advertised[float64]{Value: 2}, before: 5, signed: true, status: 200, want: 2},
+		"withdrawn":                              {before: 5, signed: true, status: 200},
+		"not advertised by another endpoint":     {before: 5, notRun: true, status: 421, want: 5},
+		"unreadable keeps the limit":             {answer: advisory.Advertised[float64]{Unreadable: "few"}, before: 5, signed: true, status: 200, want: 5},
+		"unreadable sets no limit":               {answer: advisory.Advertised[float64]{Unreadable: "few"}, signed: true, status: 200},
+		"not advertised by a failure":            {before: 5, signed: true, status: 500},
+		"not advertised by a rejection":          {before: 5, notRun: true, status: 503},
 		"not advertised by an unsigned response": {before: 5, status: 200, want: 5},
 	}
 	for name, test := range tests {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -320,7 +320,7 @@
 		{"complete", hostPlain, good, 200, "good", true, 1},
 		{"complete, once", hostOnce, good, 200, "good", true, 1},
 		{"not run, retried", hostPlain, rejectNotRun, 200, "good", true, 2},
-		{"not run, retried, once", hostOnce, rejectNotRun, 200, "good", true, 2},
+		{"not run, once, retried", hostOnce, rejectNotRun, 200, "good", true, 2},
 		{"closed connection, retried", hostPlain, closeConn, 200, "good", true, 2},
 		{"closed connection, once", hostOnce, closeConn, 502, "", false, 1},
 		{"interrupted, retried", hostPlain, respondRaw("HTTP/1.1 200 X\r\nId: ID\r\nSigned: yes\r\nContent-Length: 9\r\n\r\ngoo"), 200, "good", true, 2},
@@ -406,12 +406,12 @@
 // Rejections by endpoints must not use up attempts, and the faulty member that one names becomes
 // suspect.
 func TestServe_RejectionsUseNoAttempts(t *testing.T) {
-	down := newEndpoint(t, func(c net.Conn, r *http.Request) {
+	rejecting := newEndpoint(t, func(c net.Conn, r *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 503 X\r\nId: %s\r\nNot-Run: 1\r\nAt-Fault: 10.9.9.9:1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 	})
 	first := newEndpoint(t, events(1, 2, breakStream))
 	last := newEndpoint(t, events(3, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{first, down, last})
+	w := newFixture(t, nil, []*endpoint{first, rejecting, last})
 	w.view.Endpoints["faulty"] = &serving.Endpoint{ID: "faulty", Address: "10.9.9.9:1"}
 	// The interrupted attempt comes first, then the rejection.
 	heads := w.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
@@ -423,7 +423,7 @@
 	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
 	require.Len(t, first.requests(), 1)
-	require.Len(t, down.requests(), 1)
+	require.Len(t, rejecting.requests(), 1)
 	require.Len(t, last.requests(), 1)
 	require.Contains(t, w.relay.options.Balancer.Suspects(time.Now()), serving.EndpointID("faulty"))
 }
@@ -460,7 +460,7 @@
 		second script
 		status int
 		body   string
-		// complete is whether the response views complete to the client.
+		// complete is whether the response looks complete to the client.
 		complete bool
 		arrivals int
 		// last is the event after which the second attempt resumes.
