--- a/pkg/health/health.go
+++ b/pkg/health/health.go
@@ -1,11 +1,8 @@
-// Package health judges endpoints by what requests to them came to: by the part
-// that failed, by their pace, and by how long they have been silent.
+// Package health rates endpoints by the results of their requests, by their pace, and by how long
+// they have been silent.
 //
-// It is pure: times come in with each call. Its inputs are results of requests and
-// times of events, those of this node and those that others told; its outputs are a
-// failure rate between 0 and 1, a weight between 0 and 1, a factor of slowness, and a
-// duration. It returns
-// no errors. Figures are decayed counts, in requests.
+// It is pure: times come in with each call. It returns failure rates and weights between 0 and 1,
+// slowdown factors and durations, and no errors. Counts are exponentially decayed.
 package health
 
 import (
@@ -14,13 +11,11 @@
 	"time"
 )
 
-// window is the time constant over which results are forgotten. A head gets some
-// twenty requests a second from all nodes together, a plain endpoint about as many:
-// enough to tell a tenth that fails from none, and an endpoint that has come back
-// is trusted again after about ten seconds.
-const window = 3 * time.Second
+// decayTime is the time constant of the decay: long enough to measure a failure rate of a tenth at
+// about twenty requests a second, short enough to trust a recovered endpoint after ten seconds.
+const decayTime = 3 * time.Second
 
-// Tally is what requests came to lately, older ones counting for less.
+// Tally is the decayed count of requests by result.
 type Tally struct {
 	Served float64
 	Failed float64
@@ -31,14 +26,14 @@
 	return Tally{t.Served + other.Served, t.Failed + other.Failed}
 }
 
-// doubt is the number of requests that a rate needs to be half believed: one that
-// failed alone says little, since answers are lost at sound endpoints as well.
-const doubt = 1
+// priorRequests is the number of successful requests assumed before any are counted, since a
+// single failure also occurs at healthy endpoints.
+const priorRequests = 1
 
-// Rate is the part of the requests that failed, lower while there are few.
-func (t Tally) Rate() float64 { return t.Failed / (t.Served + t.Failed + doubt) }
+// Rate returns the fraction of requests that failed, damped while there are few.
+func (t Tally) Rate() float64 { return t.Failed / (t.Served + t.Failed + priorRequests) }
 
-// Results counts what requests to one endpoint came to. The zero value has none.
+// Results counts the results of requests to one endpoint. The zero value is empty.
 type Results struct {
 	tally Tally
 	at    time.Time
@@ -57,17 +52,17 @@
 
 // Tally returns the counts as of now.
 func (r *Results) Tally(now time.Time) Tally {
-	left := remembered(r.at, now)
-	return Tally{r.tally.Served * left, r.tally.Failed * left}
+	factor := decayFactor(r.at, now)
+	return Tally{r.tally.Served * factor, r.tally.Failed * factor}
 }
 
-// remembered is the part that is left of what was noted at a time.
-func remembered(at, now time.Time) float64 {
+// decayFactor returns the factor by which values recorded at a time have decayed.
+func decayFactor(at, now time.Time) float64 {
 	since := max(0, now.Sub(at))
-	if at.IsZero() || since > 10*window {
+	if at.IsZero() || since > 10*decayTime {
 		return 0
 	}
-	return math.Exp(-since.Seconds() / window.Seconds())
+	return math.Exp(-since.Seconds() / decayTime.Seconds())
 }
 
 // FailurePolicy is how failures of an endpoint affect its selection.
@@ -75,12 +70,11 @@
 
 // The policies.
 const (
-	// Ignore: nothing.
+	// Ignore has no effect.
 	Ignore FailurePolicy = iota
-	// Suspect: one failure has it passed over for a while.
+	// Suspect avoids the endpoint for a while after one failure.
 	Suspect
-	// Compare: it is chosen the more seldom the more of its requests fail, beside
-	// the others of its kind.
+	// Compare chooses the endpoint less often the higher its failure rate.
 	Compare
 )
 
@@ -102,16 +96,15 @@
 	return Ignore, fmt.Errorf("policy %q: want one of %v", name, policies)
 }
 
-// weightPower makes an endpoint that fails a tenth of its requests two thirds as
-// likely as one that fails none, and one that fails half a sixteenth.
+// weightPower gives an endpoint that fails a tenth of its requests two thirds of the weight of a
+// healthy one, and one that fails half a sixteenth.
 const weightPower = 4
 
-// Weight is how likely an endpoint with a failure rate is chosen, against one
-// without failures.
+// Weight returns the relative weight of an endpoint with a failure rate; it is 1 without failures.
 func Weight(rate float64) float64 { return math.Pow(1-min(1, max(0, rate)), weightPower) }
 
-// Pace is how long an endpoint took lately for what it sent, and the expected time, both in
-// seconds, older observations weighted less.
+// Pace is how long an endpoint took for its recent events, and the expected time, both decayed and
+// in seconds.
 type Pace struct {
 	Took     float64
 	Expected float64
@@ -121,57 +114,54 @@
 func (p Pace) Add(other Pace) Pace { return Pace{p.Took + other.Took, p.Expected + other.Expected} }
 
 const (
-	// paceDoubt is the time, in seconds, that an endpoint counts as having kept its
-	// pace before anything is known of it: some ten events of a stream.
-	paceDoubt = 0.3
-	// mostSlow bounds the factor; slower ones are left alone as well.
-	mostSlow = 20
+	// priorSeconds is the time for which an endpoint is assumed to have kept its pace before
+	// any events are observed: about ten events of a stream.
+	priorSeconds = 0.3
+	// maxSlowdown bounds the factor; at this value an endpoint is hardly chosen.
+	maxSlowdown = 20
 )
 
-// Factor is how many times slower than reckoned the endpoint is, at least one.
+// Factor returns how many times slower than expected the endpoint is, at least 1.
 func (p Pace) Factor() float64 {
-	return min(mostSlow, max(1, (p.Took+paceDoubt)/(p.Expected+paceDoubt)))
+	return min(maxSlowdown, max(1, (p.Took+priorSeconds)/(p.Expected+priorSeconds)))
 }
 
-// Paces observes the pace of one endpoint. The zero value has observed nothing.
+// Paces tracks the pace of one endpoint. The zero value is empty.
 type Paces struct {
 	pace Pace
 	at   time.Time
 }
 
-// Record counts one pause between two events of a stream.
-func (p *Paces) Record(took, reckoned time.Duration, now time.Time) {
-	p.pace = p.Pace(now).Add(Pace{took.Seconds(), reckoned.Seconds()})
+// Record counts the time between two events of a stream.
+func (p *Paces) Record(took, expected time.Duration, now time.Time) {
+	p.pace = p.Pace(now).Add(Pace{took.Seconds(), expected.Seconds()})
 	p.at = now
 }
 
-// Pace returns what was observed as of now.
+// Pace returns the decayed pace as of now.
 func (p *Paces) Pace(now time.Time) Pace {
-	left := remembered(p.at, now)
-	return Pace{p.pace.Took * left, p.pace.Expected * left}
+	factor := decayFactor(p.at, now)
+	return Pace{p.pace.Took * factor, p.pace.Expected * factor}
 }
 
-// Evidence is what one request at an endpoint knows of its life.
+// Evidence is what a request knows about whether its endpoint is alive.
 type Evidence struct {
 	// LocalEvent is when the endpoint last sent this node an event of any request, or when
 	// the first of the requests in progress was sent.
 	LocalEvent time.Time
-	// PeerEvent is when it last sent another node an event, as far as reported; zero if
-	// nothing was reported.
+	// PeerEvent is when it last sent another node an event, or zero if no peer reported one.
 	PeerEvent time.Time
-	// Waiting is set while this request has no event yet, and waits in the
-	// endpoint's queue for all that this node can know.
+	// Waiting is set while this request has no event yet, and may be in the endpoint's queue.
 	Waiting bool
 }
 
-// SilentFor is how long the endpoint has been silent. An endpoint that gives others
-// their events is alive, and lets this request wait: without this, requests that
-// waited half a second at full groups had these taken for dead and left alone, and the
-// rest were full in turn.
+// SilentFor returns how long the endpoint has been silent. While the request waits, events sent to
+// peers show that the endpoint is alive: otherwise requests queued at busy endpoints would make them
+// suspect, and so overload the others.
 func (e Evidence) SilentFor(now time.Time) time.Duration {
-	own := now.Sub(e.LocalEvent)
+	local := now.Sub(e.LocalEvent)
 	if !e.Waiting || e.PeerEvent.IsZero() {
-		return own
+		return local
 	}
-	return min(own, now.Sub(e.PeerEvent))
+	return min(local, now.Sub(e.PeerEvent))
 }
--- a/pkg/ratelimit/doc.go
+++ b/pkg/ratelimit/doc.go
@@ -1,7 +1,5 @@
-// Package ratelimit paces requests to an endpoint that limits how many it takes from all
-// nodes together.
+// Package ratelimit limits the rate of requests to an endpoint from all nodes together.
 //
-// Inputs are the limit in requests a second and the time now; outputs are whether a request
-// may be sent, or how long until the next. There are no errors, clocks, locks or sockets:
-// internal/throttle adds these.
+// It is pure: the limit, in requests per second, and the time come in with each call.
+// internal/throttle adds clocks, locks and messages between nodes.
 package ratelimit
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -1,9 +1,8 @@
-// Package routing chooses the replica group that runs a request.
+// Package routing chooses the replica group for a request.
 //
-// The choice weighs the expected finish time of a few candidates: what this
-// node has in flight there, what the group last reported (late), and how fast
-// the group has been of late. A prompt prefix that a group has served before
-// draws the request there as long as the group is not loaded beyond a bound.
+// It compares the expected finish time of two random candidates, from this node's requests in
+// flight, the load that the group last reported, and its recent service time. A prompt prefix that a
+// group has served before makes it preferred, unless it is too busy.
 //
 // Router is pure: it has no clock, goroutine, socket or random source.
 package routing
@@ -15,76 +14,74 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Target is a group, or a single plain service endpoint, that may be sent
-// requests while its evidence lasts.
+// Target is a group or a plain endpoint that may be sent requests until its evidence expires.
 type Target struct {
 	Group      fleet.GroupID
 	Generation uint64
 	Epoch      uint64
 	Address    string
-	// Incarnation is that of the endpoint that takes the requests.
+	// Incarnation is the incarnation of the endpoint that receives the requests.
 	Incarnation uint64
-	// Pool names what the target serves; requests name the same.
+	// Pool names what the target serves, and matches Request.Pool.
 	Pool  string
 	Slots int
-	// Load is what the target last reported, of all nodes together.
+	// Load is the number of requests of all nodes that the target last reported.
 	Load int
-	// ReportVersion is the version of the report that Load is from.
+	// ReportVersion is the version of the report that Load is taken from.
 	ReportVersion uint64
 	// CompleteAt is when all members were last known to be present, and Until is when that
 	// evidence expires.
 	CompleteAt time.Time
 	Until      time.Time
-	// Draining is set when a member is about to be removed; such a target is not offered to
-	// the router.
+	// Draining is set when a member is about to be removed; such a target is not passed to the
+	// router.
 	Draining bool
 }
 
-// Failure is a target that a request has failed on.
+// Failure is a failed attempt of a request at a target.
 type Failure struct {
 	Group      fleet.GroupID
 	Generation uint64
 	At         time.Time
 }
 
-// Excludes reports whether the failure rules out a target: the target is the same, and it
-// has not been seen complete since.
+// Excludes reports whether the failure excludes a target: it is the same one, and it has not
+// been complete since.
 func (f Failure) Excludes(t Target) bool {
 	return f.Group == t.Group && f.Generation == t.Generation && !t.CompleteAt.After(f.At)
 }
 
-// Tuning constants of the choice.
 const (
-	// affinityBound is how much busier than the average a group may be and
-	// still be chosen for a prefix that it has served.
+	// affinityBound is the ratio to the average utilisation up to which a group is preferred
+	// for a prefix that it has served.
 	affinityBound = 1.25
-	// ewmaWeight is the weight of a new sample in the running averages.
+	// ewmaWeight is the weight of a new sample in the moving average.
 	ewmaWeight = 0.2
 	// maxPrefixes bounds the remembered prefixes; the older half is dropped.
 	maxPrefixes = 8192
-	// easeOff is how long a group is avoided after its first failure; it
-	// doubles with each further one up to maxEaseOff.
-	easeOff    = 250 * time.Millisecond
-	maxEaseOff = 8 * time.Second
-	// initialService is assumed for a group that has served nothing yet.
-	initialService = 500 * time.Millisecond
+	// minAvoidance is how long a group is avoided after its first failure; it doubles with
+	// each further one, up to maxAvoidance.
+	minAvoidance = 250 * time.Millisecond
+	maxAvoidance = 8 * time.Second
+	// initialServiceTime is assumed for a group that has served nothing yet.
+	initialServiceTime = 500 * time.Millisecond
 )
 
-type state struct {
+type targetState struct {
 	target   Target
 	inFlight int
-	// base is this node's own part of the target's last reported load.
-	base     int
-	service  time.Duration
-	failures int
-	avoid    time.Time
+	// localAtReport is the number of this node's requests in flight when the report arrived.
+	localAtReport int
+	serviceTime   time.Duration
+	failures      int
+	avoidUntil    time.Time
 }
 
-// Router is one node's view of where requests can run.
+// Router holds the targets that one node may send requests to.
 type Router struct {
-	states map[fleet.GroupID]*state
-	pools  map[string][]*state
-	// recent and older are two generations of prefix memory.
+	states map[fleet.GroupID]*targetState
+	pools  map[string][]*targetState
+	// recent and older are two generations of the prefix cache.
 	recent map[uint64]fleet.GroupID
 	older  map[uint64]fleet.GroupID
 }
@@ -92,26 +89,26 @@
 // New returns a router without targets.
 func New() *Router {
 	return &Router{
-		states: map[fleet.GroupID]*state{},
-		pools:  map[string][]*state{},
+		states: map[fleet.GroupID]*targetState{},
+		pools:  map[string][]*targetState{},
 		recent: map[uint64]fleet.GroupID{},
 	}
 }
 
-// SetTargets replaces the targets. What is in flight to a target that stays
-// is kept; a target that went is forgotten once nothing is in flight to it.
+// SetTargets replaces the targets. Requests in flight stay counted, also for a removed target until
+// they finish.
 func (r *Router) SetTargets(targets []Target) {
-	pools := make(map[string][]*state, len(r.pools))
+	pools := make(map[string][]*targetState, len(r.pools))
 	present := make(map[fleet.GroupID]bool, len(targets))
 	for _, t := range targets {
 		present[t.Group] = true
 		s := r.states[t.Group]
 		if s == nil {
-			s = &state{service: initialService}
+			s = &targetState{serviceTime: initialServiceTime}
 			r.states[t.Group] = s
 		}
 		if s.target.ReportVersion != t.ReportVersion {
-			s.base = s.inFlight
+			s.localAtReport = s.inFlight
 		}
 		s.target = t
 		pools[t.Pool] = append(pools[t.Pool], s)
@@ -124,40 +121,39 @@
 	r.pools = pools
 }
 
-// Request is what the choice depends on.
+// Request is what a target is chosen for.
 type Request struct {
 	Pool string
-	// Prefix is a hash of the prompt's beginning, or 0.
+	// Prefix is a hash of the start of the prompt, or 0.
 	Prefix uint64
-	// Random is a fresh random number from the caller.
+	// Random is a fresh random number.
 	Random uint64
-	// Failed lists what the request has failed on so far.
+	// Failed lists the failed attempts of the request.
 	Failed []Failure
 }
 
-// Choose returns the best target whose evidence lasts beyond now.
+// Choose returns the best target whose evidence has not expired.
 func (r *Router) Choose(now time.Time, q Request) (Target, bool) {
 	usable := r.usable(now, q)
 	if len(usable) == 0 {
 		return Target{}, false
 	}
-	if s := r.affine(usable, q.Prefix); s != nil {
+	if s := r.affinityTarget(usable, q.Prefix); s != nil {
 		return s.target, true
 	}
 	best := bestOfTwo(usable, q.Random)
-	r.remember(q.Prefix, best.target.Group)
+	r.rememberPrefix(q.Prefix, best.target.Group)
 	return best.target, true
 }
 
-// usable lists the candidates. Groups that are being avoided count only when
-// there is no other: a slow answer is better than none.
-func (r *Router) usable(now time.Time, q Request) []*state {
-	var good, avoided []*state
+// usable returns the candidates. Groups that are being avoided are used only if there is no other.
+func (r *Router) usable(now time.Time, q Request) []*targetState {
+	var good, avoided []*targetState
 	for _, s := range r.pools[q.Pool] {
-		if !now.Before(s.target.Until) || ruledOut(q.Failed, s.target) {
+		if !now.Before(s.target.Until) || isExcluded(q.Failed, s.target) {
 			continue
 		}
-		if now.Before(s.avoid) {
+		if now.Before(s.avoidUntil) {
 			avoided = append(avoided, s)
 			continue
 		}
@@ -169,7 +165,7 @@
 	return good
 }
 
-func ruledOut(list []Failure, t Target) bool {
+func isExcluded(list []Failure, t Target) bool {
 	for _, f := range list {
 		if f.Excludes(t) {
 			return true
@@ -178,7 +174,7 @@
 	return false
 }
 
-func (r *Router) affine(usable []*state, prefix uint64) *state {
+func (r *Router) affinityTarget(usable []*targetState, prefix uint64) *targetState {
 	if prefix == 0 {
 		return nil
 	}
@@ -189,7 +185,7 @@
 	if !ok {
 		return nil
 	}
-	var chosen *state
+	var chosen *targetState
 	total := 0.0
 	for _, s := range usable {
 		total += s.utilisation()
@@ -201,16 +197,15 @@
 		return nil
 	}
 	average := total / float64(len(usable))
-	// A group with nothing waiting serves the request at once anyway, so
-	// affinity costs nothing there, however idle the others are.
+	// A group without a queue serves the request immediately, so affinity costs nothing there.
 	if chosen.utilisation() < 1 || chosen.utilisation() <= average*affinityBound {
-		r.remember(prefix, id)
+		r.rememberPrefix(prefix, id)
 		return chosen
 	}
 	return nil
 }
 
-func (r *Router) remember(prefix uint64, id fleet.GroupID) {
+func (r *Router) rememberPrefix(prefix uint64, id fleet.GroupID) {
 	if prefix == 0 {
 		return
 	}
@@ -221,49 +216,47 @@
 	r.recent[prefix] = id
 }
 
-// bestOfTwo compares two candidates drawn at random. Taking the best of all
-// would send every node to the same group between two late reports.
-func bestOfTwo(usable []*state, random uint64) *state {
+// bestOfTwo returns the better of two random candidates. Taking the best of all would make every
+// node choose the same group until the next report.
+func bestOfTwo(usable []*targetState, random uint64) *targetState {
 	n := uint64(len(usable))
 	first := usable[random%n]
 	if n == 1 {
 		return first
 	}
 	second := usable[(random%n+1+(random>>32)%(n-1))%n]
-	if second.expected() < first.expected() {
+	if second.expectedTime() < first.expectedTime() {
 		return second
 	}
 	return first
 }
 
-// load estimates the requests at the target: this node's own now, and the
-// others' as last reported.
-func (s *state) load() int {
-	others := max(0, s.target.Load-s.base)
+// load estimates the requests at the target: this node's own, and those of others as last reported.
+func (s *targetState) load() int {
+	others := max(0, s.target.Load-s.localAtReport)
 	return s.inFlight + others
 }
 
-func (s *state) utilisation() float64 {
+func (s *targetState) utilisation() float64 {
 	return float64(s.load()) / float64(max(1, s.target.Slots))
 }
 
-// expected returns the expected time to finish one more request.
-func (s *state) expected() float64 {
-	waves := math.Max(1, float64(s.load()+1)/float64(max(1, s.target.Slots)))
-	// The utilisation breaks ties between groups that both have free slots:
-	// a fuller batch is a little slower.
-	return s.service.Seconds() * (waves + 0.1*s.utilisation())
+// expectedTime returns the expected time in seconds to finish one more request.
+func (s *targetState) expectedTime() float64 {
+	batches := math.Max(1, float64(s.load()+1)/float64(max(1, s.target.Slots)))
+	// The utilisation breaks ties between groups with free slots: a fuller batch is slower.
+	return s.serviceTime.Seconds() * (batches + 0.1*s.utilisation())
 }
 
-// Started counts a request that is being sent to a group.
+// Started counts a request that is sent to a group.
 func (r *Router) Started(id fleet.GroupID) {
 	if s := r.states[id]; s != nil {
 		s.inFlight++
 	}
 }
 
-// Finished counts a request's end. The service time is that of an unqueued
-// request: the time that the group had the request, over the waves ahead.
+// Finished counts the end of a request. The service time without queueing is the time taken, divided
+// by the batches ahead.
 func (r *Router) Finished(now time.Time, id fleet.GroupID, took time.Duration, ok bool) {
 	s := r.states[id]
 	if s == nil {
@@ -271,18 +264,18 @@
 	}
 	s.inFlight = max(0, s.inFlight-1)
 	if !ok {
-		wait := min(maxEaseOff, easeOff<<min(s.failures, 5))
+		wait := min(maxAvoidance, minAvoidance<<min(s.failures, 5))
 		s.failures++
-		s.avoid = now.Add(wait)
+		s.avoidUntil = now.Add(wait)
 		return
 	}
 	s.failures = 0
-	waves := math.Max(1, s.utilisation())
-	sample := float64(took) / waves
-	s.service = time.Duration((1-ewmaWeight)*float64(s.service) + ewmaWeight*sample)
+	batches := math.Max(1, s.utilisation())
+	sample := float64(took) / batches
+	s.serviceTime = time.Duration((1-ewmaWeight)*float64(s.serviceTime) + ewmaWeight*sample)
 }
 
-// Slots sums the slots of a pool's targets with evidence.
+// Slots returns the total slots of a pool's targets whose evidence has not expired.
 func (r *Router) Slots(now time.Time, pool string) int {
 	total := 0
 	for _, s := range r.pools[pool] {
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -18,18 +18,18 @@
 	return Target{Group: fleet.GroupID(id), Generation: 1, Pool: "p", Slots: 4, Load: load, ReportVersion: 1, CompleteAt: now, Until: now.Add(time.Second)}
 }
 
-func TestEvidenceEnds(t *testing.T) {
+func TestChoose_IgnoresExpiredTargets(t *testing.T) {
 	r := New()
 	r.SetTargets([]Target{target("a", 0)})
 	_, ok := r.Choose(now.Add(time.Second-1), Request{Pool: "p"})
 	assert.True(t, ok)
 	_, ok = r.Choose(now.Add(time.Second), Request{Pool: "p"})
-	assert.False(t, ok, "no news is bad news")
+	assert.False(t, ok, "the evidence has expired")
 	_, ok = r.Choose(now, Request{Pool: "other"})
 	assert.False(t, ok)
 }
 
-func TestFailureRulesOutUntilSeenAgain(t *testing.T) {
+func TestChoose_ExcludesFailedTargets(t *testing.T) {
 	r := New()
 	failed := []Failure{{Group: "a", Generation: 1, At: now}}
 	for _, c := range []struct {
@@ -38,7 +38,7 @@
 		want   bool
 	}{
 		{"same evidence", func(*Target) {}, false},
-		{"seen since", func(t *Target) { t.CompleteAt = now.Add(1) }, true},
+		{"complete since", func(t *Target) { t.CompleteAt = now.Add(1) }, true},
 		{"new generation", func(t *Target) { t.Generation = 2 }, true},
 	} {
 		x := target("a", 0)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLessLoadedIsPreferred(t *testing.T) {
+func TestChoose_PrefersLowerLoad(t *testing.T) {
 	r := New()
 	r.SetTargets([]Target{target("idle", 0), target("busy", 12)})
 	counts := map[fleet.GroupID]int{}
@@ -62,7 +62,7 @@
 	assert.Equal(t, 100, counts["idle"])
 }
 
-func TestPrefixAffinityIsBounded(t *testing.T) {
+func TestChoose_BoundsPrefixAffinity(t *testing.T) {
 	r := New()
 	r.SetTargets([]Target{target("a", 0), target("b", 0)})
 	first, _ := r.Choose(now, Request{Pool: "p", Prefix: 7, Random: 1})
@@ -76,7 +76,7 @@
 	assert.NotEqual(t, first.Group, other.Group)
 }
 
-func TestFailingGroupIsEasedOff(t *testing.T) {
+func TestChoose_AvoidsFailingGroup(t *testing.T) {
 	r := New()
 	r.SetTargets([]Target{target("a", 0), target("b", 0)})
 	r.Started("a")
@@ -85,14 +85,14 @@
 		got, _ := r.Choose(now, Request{Pool: "p", Random: i})
 		assert.Equal(t, fleet.GroupID("b"), got.Group)
 	}
-	// Alone, it is still better than nothing.
+	// A failing group is used if there is no other.
 	r.SetTargets([]Target{target("a", 0)})
 	_, ok := r.Choose(now, Request{Pool: "p"})
 	assert.True(t, ok)
 }
 
-// A group that serves slowly, though it fails nothing, gets less.
-func TestSlowGroupGetsLess(t *testing.T) {
+// A group that is slow without failing must be avoided.
+func TestChoose_AvoidsSlowGroup(t *testing.T) {
 	r := New()
 	r.SetTargets([]Target{target("quick", 0), target("slow", 0)})
 	for range 30 {
@@ -105,8 +105,8 @@
 	assert.Equal(t, fleet.GroupID("quick"), got.Group)
 }
 
-// Many nodes with the same late reports do not all send to one group.
-func TestNoHerd(t *testing.T) {
+// Nodes with the same outdated reports must not all choose the same group.
+func TestChoose_SpreadsAcrossNodes(t *testing.T) {
 	var targets []Target
 	for i := range 10 {
 		targets = append(targets, target(fmt.Sprint(i), i%3))
