--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -67,19 +67,19 @@
 	head := func(id string, dc serving.DataCentre) *directory.Head {
 		return &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(id), DataCentre: dc, Slots: 30}, Engine: engine, Pace: 1}
 	}
-	sound, silent, remote := head("sound", "north"), head("silent", "north"), head("remote", "south")
+	healthy, silent, remote := head("healthy", "north"), head("silent", "north"), head("remote", "south")
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	b.SetPeerReports(PeerReports{Suspects: map[serving.EndpointID]bool{"silent": true}, Unreachable: map[serving.DataCentre]bool{"south": true}})
 	now := time.Now()
 	for range 100 {
-		require.Equal(t, sound, b.ChooseHead([]*directory.Head{silent, sound, remote}, RequestSize{Prompt: 100}, nil, false, now).Head)
+		require.Equal(t, healthy, b.ChooseHead([]*directory.Head{silent, healthy, remote}, RequestSize{Prompt: 100}, nil, false, now).Head)
 	}
 	require.NotNil(t, b.ChooseHead([]*directory.Head{silent, remote}, RequestSize{Prompt: 100}, nil, false, now).Head, "no other is left")
-	flight := b.begin(silent.Endpoint, RequestSize{Prompt: 100}, now)
-	flight.recordEvent(now)
+	active := b.begin(silent.Endpoint, RequestSize{Prompt: 100}, now)
+	active.recordEvent(now)
 	chosen := map[serving.EndpointID]bool{}
 	for range 100 {
-		chosen[b.ChooseHead([]*directory.Head{silent, sound}, RequestSize{Prompt: 100}, nil, false, now).Head.ID] = true
+		chosen[b.ChooseHead([]*directory.Head{silent, healthy}, RequestSize{Prompt: 100}, nil, false, now).Head.ID] = true
 	}
 	require.Len(t, chosen, 2, "it has sent an event here")
 }
@@ -94,14 +94,14 @@
 			heads = append(heads, &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Slots: 30}, Engine: engine, Pace: 1})
 		}
 		b := NewBalancer("0", rand.NewPCG(1, 1), DefaultWeights)
-		away := 0
+		remote := 0
 		const requests = 4000
 		for range requests {
 			if b.ChooseHead(heads, RequestSize{Prompt: 700}, nil, false, time.Now()).Head.DataCentre != "0" {
-				away++
+				remote++
 			}
 		}
-		return float64(away) / requests
+		return float64(remote) / requests
 	}
 	require.InDelta(t, share(3), share(7), 0.03)
 	require.Less(t, share(2), share(3))
@@ -232,14 +232,14 @@
 func TestChoosePlain_AvoidsFailingEndpoints(t *testing.T) {
 	now := time.Now()
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
-	endpoints := []*serving.Endpoint{{ID: "failing", DataCentre: "north"}, {ID: "sound", DataCentre: "south"}}
+	endpoints := []*serving.Endpoint{{ID: "failing", DataCentre: "north"}, {ID: "healthy", DataCentre: "south"}}
 	f := b.begin(endpoints[0], RequestSize{}, now)
 	f.recordOutcome(true, now)
 	f.end()
 	for range 10 {
 		chosen, ok := b.ChoosePlain(endpoints, nil, now)
 		require.True(t, ok)
-		require.Equal(t, serving.EndpointID("sound"), chosen.ID)
+		require.Equal(t, serving.EndpointID("healthy"), chosen.ID)
 	}
 	only, ok := b.ChoosePlain(endpoints[:1], nil, now)
 	require.True(t, ok, "a failing endpoint is better than none")
@@ -274,10 +274,10 @@
 	now := time.Now()
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	head := newHead("a", 1).Endpoint
-	silent, sound := b.begin(head, RequestSize{Prompt: 100}, now), b.begin(head, RequestSize{Prompt: 100}, now)
+	silent, healthy := b.begin(head, RequestSize{Prompt: 100}, now), b.begin(head, RequestSize{Prompt: 100}, now)
 	silent.recordEvent(now)
 	for at := now; at.Before(now.Add(2 * time.Second)); at = at.Add(20 * time.Millisecond) {
-		sound.recordEvent(at)
+		healthy.recordEvent(at)
 	}
 	later := now.Add(2 * time.Second)
 	require.Less(t, silent.endpointSilence(later), 100*time.Millisecond, "the head sends events")
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -153,5 +153,5 @@
 }
 
 func (c *call) size() RequestSize {
-	return RequestSize{Prompt: c.attrs.PromptTokens, Output: c.attrs.AnswerTokens(), Objective: c.route.Objective}
+	return RequestSize{Prompt: c.attrs.PromptTokens, Output: c.attrs.OutputTokens(), Objective: c.route.Objective}
 }
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -53,7 +53,7 @@
 		w.useThrottle(throttle.NewTracker(throttle.Options{}))
 		w.coolDown("h0", 2*time.Second)
 		w.coolDown("p0", 2*time.Second)
-		after := w.rejectedAtOnce(t, host)
+		after := w.rejectedImmediately(t, host)
 		require.Positive(t, after)
 		require.LessOrEqual(t, after, DefaultWeights.OverloadRetryAfter, "another node may serve")
 		require.Empty(t, e.requests())
@@ -128,15 +128,15 @@
 func TestObserve_IgnoresUnrelatedResponses(t *testing.T) {
 	statement := advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: time.Minute}, Draining: advisory.Advertised[bool]{Value: true}}
 	tests := map[string]struct {
-		answer endpointAnswer
+		answer endpointResponse
 		want   throttle.Hold
 	}{
-		"signed":                 {endpointAnswer{signed: true, status: 200}, throttle.HoldDraining},
-		"rejection":              {endpointAnswer{notRun: true, status: 503}, throttle.HoldDraining},
-		"failure":                {endpointAnswer{signed: true, status: 500}, throttle.HoldDraining},
-		"misdirected":            {endpointAnswer{notRun: true, status: 421}, throttle.HoldNone},
-		"unsigned":               {endpointAnswer{status: 503}, throttle.HoldNone},
-		"misdirected yet signed": {endpointAnswer{signed: true, status: 421}, throttle.HoldNone},
+		"signed":                 {endpointResponse{signed: true, status: 200}, throttle.HoldDraining},
+		"rejection":              {endpointResponse{notRun: true, status: 503}, throttle.HoldDraining},
+		"failure":                {endpointResponse{signed: true, status: 500}, throttle.HoldDraining},
+		"misdirected":            {endpointResponse{notRun: true, status: 421}, throttle.HoldNone},
+		"unsigned":               {endpointResponse{status: 503}, throttle.HoldNone},
+		"misdirected yet signed": {endpointResponse{signed: true, status: 421}, throttle.HoldNone},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relay/draw.go
+++ b/internal/relay/draw.go
@@ -153,7 +153,8 @@
 	return c
 }
 
-// score is the predicted time by which a group is ranked, multiplied by its slowdown.
+// score returns the time by which a group is ranked: the predicted time to the first event,
+// multiplied by its slowdown, plus penalties.
 func (b *Balancer) score(h *directory.Head, predicted Prediction, slowdown float64) time.Duration {
 	score := max(time.Duration(slowdown*float64(predicted.First)), time.Millisecond)
 	if h.DataCentre != b.home {
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -44,7 +44,7 @@
 		w.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
 		w.setLimit("h0")
 		w.setLimit("p0")
-		after := w.rejectedAtOnce(t, host)
+		after := w.rejectedImmediately(t, host)
 		require.InDelta(t, time.Second, after, float64(50*time.Millisecond), "the time of the next permit")
 		require.Empty(t, e.requests())
 	}
@@ -65,15 +65,15 @@
 	require.InDelta(t, before.Slack, after.Slack, 0.01)
 }
 
-// endpointAnswer is what the header of a response states.
-type endpointAnswer struct {
+// endpointResponse is what the header of a response states.
+type endpointResponse struct {
 	signed bool
 	notRun bool
 	status int
 }
 
 // observe passes such a response to the relay.
-func (a endpointAnswer) observe(w *fixture, e *serving.Endpoint) {
+func (a endpointResponse) observe(w *fixture, e *serving.Endpoint) {
 	c := &call{Relay: w.relay}
 	v := Verdict{Signed: a.signed, NotRun: a.notRun}
 	c.observe(target{Endpoint: e}, v, w.relay.options.Wire.Statement(a.status, nil), &activeRequest{sentAt: time.Now().Add(time.Millisecond)}, a.status)
@@ -118,15 +118,15 @@
 				w.relay.options.Throttle.SetLimit(e.Incarnation(), test.before, time.Now())
 			}
 			w.relay.options.Wire = statementWire{statement: advisory.Statement{RateLimit: test.answer}}
-			endpointAnswer{test.signed, test.notRun, test.status}.observe(w, e)
+			endpointResponse{test.signed, test.notRun, test.status}.observe(w, e)
 			require.InDelta(t, test.want, w.relay.options.Throttle.RateLimit(e.Incarnation()).PerSecond, 0)
 		})
 	}
 }
 
-// rejectedAtOnce sends a request that must be rejected immediately as not run, and returns its
+// rejectedImmediately sends a request that must be rejected immediately as not run, and returns its
 // Retry-After.
-func (w *fixture) rejectedAtOnce(t *testing.T, host string) time.Duration {
+func (w *fixture) rejectedImmediately(t *testing.T, host string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	out := w.serve(request(host))
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -19,7 +19,7 @@
 
 // ChoosePlain picks the endpoint of a plain service with the fewest requests in flight and the
 // lowest failure rate. Flapping or failing endpoints are left to recover, as the others have the
-// capacity. Endpoints in unreachable data centres are never chosen: dialling them would use up
+// capacity. Endpoints in unreachable data centres only get probes: dialling them would use up
 // most of the request's deadline.
 func (b *Balancer) ChoosePlain(endpoints []*serving.Endpoint, failed []serving.EndpointID, now time.Time) (*serving.Endpoint, bool) {
 	b.mu.Lock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -76,7 +76,7 @@
 	classes map[classKey]*metrics.Class
 }
 
-type classKey struct{ workspace, route string }
+type classKey struct{ workspace, service string }
 
 // New returns a relay.
 func New(o Options) *Relay {
@@ -106,17 +106,17 @@
 const maxClasses = 400
 
 // class returns the metrics of a workspace and a service.
-func (r *Relay) class(workspace, kind string) *metrics.Class {
+func (r *Relay) class(workspace, service string) *metrics.Class {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := classKey{workspace, kind}
+	key := classKey{workspace, service}
 	c := r.classes[key]
 	if c == nil && len(r.classes) >= maxClasses {
-		key = classKey{"other", kind}
+		key = classKey{"other", service}
 		c = r.classes[key]
 	}
 	if c == nil {
-		c = r.options.Metrics.Class(key.workspace, key.route)
+		c = r.options.Metrics.Class(key.workspace, key.service)
 		r.classes[key] = c
 	}
 	return c
--- a/internal/relay/replaced.go
+++ b/internal/relay/replaced.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-// isReplaced reports whether another incarnation is listed under an endpoint's id or address.
+// isReplaced reports whether another incarnation is listed under an endpoint's ID or address.
 func isReplaced(view *directory.View, incarnation quarantine.Incarnation) bool {
 	if e := view.Endpoints[incarnation.Endpoint]; e != nil {
 		return e.StartedAt != incarnation.StartedAt
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -174,11 +174,11 @@
 // computeFingerprint returns a fingerprint that stays the same when the client retries with another
 // ID or at another node.
 func (c *call) computeFingerprint() quarantine.Fingerprint {
-	caller := c.workspace
-	if caller == "" {
-		caller = c.attrs.Key
+	client := c.workspace
+	if client == "" {
+		client = c.attrs.Key
 	}
-	return quarantine.FingerprintOf([]byte(caller), []byte(c.in.Host), []byte(c.in.Method), []byte(c.in.URI), c.in.Body)
+	return quarantine.FingerprintOf([]byte(client), []byte(c.in.Host), []byte(c.in.Method), []byte(c.in.URI), c.in.Body)
 }
 
 // recordDemand counts the estimated work of the request.
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -49,8 +49,8 @@
 	LastEvent string
 }
 
-// AnswerTokens returns the estimated number of output tokens.
-func (a *Attributes) AnswerTokens() int {
+// OutputTokens returns the estimated number of output tokens.
+func (a *Attributes) OutputTokens() int {
 	if a.LengthHint > 0 && (a.MaxTokens == 0 || a.LengthHint < a.MaxTokens) {
 		return a.LengthHint
 	}
@@ -81,12 +81,12 @@
 
 // RequestError is an error in a request, with its remedy.
 type RequestError struct {
-	Place  string
-	Remedy string
+	Location string
+	Remedy   string
 }
 
-// Error returns the place of the error and the remedy.
-func (e *RequestError) Error() string { return fmt.Sprintf("%s: %s", e.Place, e.Remedy) }
+// Error returns the location of the error and the remedy.
+func (e *RequestError) Error() string { return fmt.Sprintf("%s: %s", e.Location, e.Remedy) }
 
 // BadRequest returns a RequestError.
-func BadRequest(place, remedy string) error { return &RequestError{place, remedy} }
+func BadRequest(location, remedy string) error { return &RequestError{location, remedy} }
