--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -14,12 +14,12 @@
 )
 
 // coolDown makes an endpoint ask this node for a cooldown.
-func (w *fixture) coolDown(id serving.EndpointID, span time.Duration) {
-	w.observe(id, advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: span}})
+func (fx *fixture) coolDown(id serving.EndpointID, span time.Duration) {
+	fx.observe(id, advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: span}})
 }
 
-func (w *fixture) observe(id serving.EndpointID, s advisory.Statement) {
-	w.relay.options.Throttle.Observe(advisory.Observation{Endpoint: w.view.Endpoints[id].Incarnation(), Statement: s}, time.Now())
+func (fx *fixture) observe(id serving.EndpointID, s advisory.Statement) {
+	fx.relay.options.Throttle.Observe(advisory.Observation{Endpoint: fx.view.Endpoints[id].Incarnation(), Statement: s}, time.Now())
 }
 
 // drainingStatement is the statement of a draining endpoint.
@@ -32,13 +32,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := newEndpoint(t, events(1, 2, endStream)), newEndpoint(t, events(1, 2, endStream))
-			w := newFixture(t, []*endpoint{a, b}, []*endpoint{a, b})
-			w.useThrottle(throttle.NewTracker(throttle.Options{}))
-			w.observe("h0", statement)
-			w.observe("p0", statement)
+			fx := newFixture(t, []*endpoint{a, b}, []*endpoint{a, b})
+			fx.useThrottle(throttle.NewTracker(throttle.Options{}))
+			fx.observe("h0", statement)
+			fx.observe("p0", statement)
 			for range 5 {
-				require.Equal(t, http.StatusOK, w.serve(request(hostStream)).status)
-				require.Equal(t, http.StatusOK, w.serve(request(hostOnce)).status)
+				require.Equal(t, http.StatusOK, fx.serve(request(hostStream)).status)
+				require.Equal(t, http.StatusOK, fx.serve(request(hostOnce)).status)
 			}
 			require.Empty(t, a.requests())
 			require.Len(t, b.requests(), 10)
@@ -49,11 +49,11 @@
 func TestCooldown_RejectsImmediately(t *testing.T) {
 	for _, host := range []string{hostStream, hostOnce} {
 		e := newEndpoint(t, events(1, 2, endStream))
-		w := newFixture(t, []*endpoint{e}, []*endpoint{e})
-		w.useThrottle(throttle.NewTracker(throttle.Options{}))
-		w.coolDown("h0", 2*time.Second)
-		w.coolDown("p0", 2*time.Second)
-		after := w.rejectedImmediately(t, host)
+		fx := newFixture(t, []*endpoint{e}, []*endpoint{e})
+		fx.useThrottle(throttle.NewTracker(throttle.Options{}))
+		fx.coolDown("h0", 2*time.Second)
+		fx.coolDown("p0", 2*time.Second)
+		after := fx.rejectedImmediately(t, host)
 		require.Positive(t, after)
 		require.LessOrEqual(t, after, DefaultWeights.OverloadRetryAfter, "another node may serve")
 		require.Empty(t, e.requests())
@@ -69,17 +69,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := newEndpoint(t, events(1, 2, endStream)), newEndpoint(t, events(1, 2, endStream))
-			w := newFixture(t, nil, []*endpoint{a, b})
+			fx := newFixture(t, nil, []*endpoint{a, b})
 			requested := 0
-			w.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
+			fx.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
 				if requested++; requested == 1 {
-					w.observe(e.ID, statement)
+					fx.observe(e.ID, statement)
 				}
 				return throttle.Permit{Granted: true, Limit: known}, nil
 			}}))
-			w.setLimit("h0")
-			w.setLimit("h1")
-			out := w.serve(request(hostStream))
+			fx.setLimit("h0")
+			fx.setLimit("h1")
+			out := fx.serve(request(hostStream))
 			require.Equal(t, http.StatusOK, out.status)
 			require.Equal(t, 2, requested)
 			require.Len(t, append(a.requests(), b.requests()...), 1)
@@ -91,36 +91,36 @@
 // refunded.
 func TestGate_RefundsTheRetryBudget(t *testing.T) {
 	a, b := newEndpoint(t, events(1, 3, breakStream)), newEndpoint(t, events(4, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{a, b})
-	w.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
-		w.coolDown(e.ID, time.Minute)
+	fx := newFixture(t, nil, []*endpoint{a, b})
+	fx.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
+		fx.coolDown(e.ID, time.Minute)
 		return throttle.Permit{Granted: true, Limit: known}, nil
 	}}))
-	w.setLimit("h1")
-	before := w.relay.options.Budget.State("llm", time.Now())
-	out := w.serve(request(hostStream))
+	fx.setLimit("h1")
+	before := fx.relay.options.Budget.State("llm", time.Now())
+	out := fx.serve(request(hostStream))
 	require.True(t, out.aborted)
 	require.Len(t, a.requests(), 1)
 	require.Empty(t, b.requests())
-	after := w.relay.options.Budget.State("llm", time.Now())
+	after := fx.relay.options.Budget.State("llm", time.Now())
 	require.Equal(t, before.Retries, after.Retries)
-	require.Empty(t, w.relay.options.Balancer.Suspects(time.Now()))
+	require.Empty(t, fx.relay.options.Balancer.Suspects(time.Now()))
 }
 
 // No permit is requested from an endpoint to which nothing may be sent.
 func TestCooldown_AcquiresNoPermit(t *testing.T) {
 	e := newEndpoint(t, events(1, 2, endStream))
-	w := newFixture(t, []*endpoint{e}, []*endpoint{e})
-	w.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
+	fx := newFixture(t, []*endpoint{e}, []*endpoint{e})
+	fx.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
 		t.Error("a permit was requested")
 		return throttle.Permit{Granted: true}, nil
 	}}))
 	for _, id := range []serving.EndpointID{"h0", "p0"} {
-		w.setLimit(id)
-		w.coolDown(id, time.Minute)
+		fx.setLimit(id)
+		fx.coolDown(id, time.Minute)
 	}
 	for _, host := range []string{hostStream, hostOnce} {
-		require.Equal(t, http.StatusServiceUnavailable, w.serve(request(host)).status)
+		require.Equal(t, http.StatusServiceUnavailable, fx.serve(request(host)).status)
 	}
 }
 
@@ -140,11 +140,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newFixture(t, nil, []*endpoint{newEndpoint(t, closeConn)})
-			w.relay.options.Wire = statementWire{statement: statement}
-			e := w.view.Endpoints["h0"]
-			test.answer.observe(w, e)
-			require.Equal(t, test.want, w.relay.options.Throttle.Hold(e, time.Now()))
+			fx := newFixture(t, nil, []*endpoint{newEndpoint(t, closeConn)})
+			fx.relay.options.Wire = statementWire{statement: statement}
+			e := fx.view.Endpoints["h0"]
+			test.answer.observe(fx, e)
+			require.Equal(t, test.want, fx.relay.options.Throttle.Hold(e, time.Now()))
 		})
 	}
 }
@@ -164,10 +164,10 @@
 			for range 5 {
 				all = append(all, newEndpoint(t, rejectNotRun))
 			}
-			w := newFixture(t, nil, all)
-			w.useThrottle(throttle.NewTracker(throttle.Options{}))
-			w.relay.options.Wire = statementWire{statement: advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: test.cooldown}}}
-			out := w.serve(request(hostStream))
+			fx := newFixture(t, nil, all)
+			fx.useThrottle(throttle.NewTracker(throttle.Options{}))
+			fx.relay.options.Wire = statementWire{statement: advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: test.cooldown}}}
+			out := fx.serve(request(hostStream))
 			require.Equal(t, http.StatusServiceUnavailable, out.status)
 			require.Equal(t, test.want.String(), out.header.Get("After"))
 		})
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -75,75 +75,75 @@
 // other requests are still served.
 func TestQuarantine_RejectsAfterMaxCrashes(t *testing.T) {
 	heads := []*endpoint{newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t), newEndpoint(t, events(1, 3, endStream))}
-	w := newFixture(t, nil, heads)
+	fx := newFixture(t, nil, heads)
 	pool := directory.Pool{Service: "llm", Model: "m"}
-	all := w.view.Heads[pool]
+	all := fx.view.Heads[pool]
 	crasher := request(hostStream)
 	f := qlist.FingerprintOf([]byte("bakery"), []byte(crasher.Host), []byte(crasher.Method), []byte(crasher.URI), crasher.Body)
 	for i := range qlist.MaxCrashes {
-		w.view.Heads[pool] = all[i : i+1]
-		require.NotEqual(t, http.StatusServiceUnavailable, w.serve(crasher).status)
+		fx.view.Heads[pool] = all[i : i+1]
+		require.NotEqual(t, http.StatusServiceUnavailable, fx.serve(crasher).status)
 		require.Len(t, heads[i].requests(), 1)
-		require.Eventually(t, func() bool { return crashCount(w.relay.options.Quarantine, f) == i+1 }, testTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return crashCount(fx.relay.options.Quarantine, f) == i+1 }, testTimeout, time.Millisecond)
 	}
-	w.view.Heads[pool] = all[qlist.MaxCrashes:]
-	out := w.serve(crasher)
+	fx.view.Heads[pool] = all[qlist.MaxCrashes:]
+	out := fx.serve(crasher)
 	require.Equal(t, http.StatusServiceUnavailable, out.status)
 	require.Equal(t, quarantineRetryAfter.String(), out.header.Get("After"))
 	require.Empty(t, heads[qlist.MaxCrashes].requests())
 	other := request(hostStream)
 	other.URI += "&other"
-	require.Equal(t, http.StatusOK, w.serve(other).status)
+	require.Equal(t, http.StatusOK, fx.serve(other).status)
 }
 
 // A request must not be retried before the probe of the endpoint that it may have crashed is done.
 func TestQuarantine_StopsRetriesAfterMaxCrashes(t *testing.T) {
 	endpoints := []*endpoint{newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t)}
-	w := newFixture(t, endpoints, nil)
-	all := w.view.Plain["shop"]
+	fx := newFixture(t, endpoints, nil)
+	all := fx.view.Plain["shop"]
 	crasher := request(hostPlain)
 	f := qlist.FingerprintOf([]byte("bakery"), []byte(crasher.Host), []byte(crasher.Method), []byte(crasher.URI), crasher.Body)
-	w.view.Plain["shop"] = all[:2]
-	w.serve(crasher)
-	require.Eventually(t, func() bool { return crashCount(w.relay.options.Quarantine, f) == 2 }, testTimeout, time.Millisecond)
-	w.view.Plain["shop"] = all[2:]
-	w.serve(crasher)
+	fx.view.Plain["shop"] = all[:2]
+	fx.serve(crasher)
+	require.Eventually(t, func() bool { return crashCount(fx.relay.options.Quarantine, f) == 2 }, testTimeout, time.Millisecond)
+	fx.view.Plain["shop"] = all[2:]
+	fx.serve(crasher)
 	require.Len(t, append(endpoints[2].requests(), endpoints[3].requests()...), 1)
 }
 
 // A response without framing looks complete when its endpoint crashes, so it must not clear the
 // request of earlier crashes.
 func TestQuarantine_IgnoresUnframedResponses(t *testing.T) {
-	w := newFixture(t, nil, []*endpoint{newCrashingEndpoint(t), newEndpoint(t, func(c net.Conn, r *http.Request) {
+	fx := newFixture(t, nil, []*endpoint{newCrashingEndpoint(t), newEndpoint(t, func(c net.Conn, r *http.Request) {
 		_, _ = c.Write([]byte(responseHead(r, 200) + "\r\n" + eventText(1)))
 		_ = c.Close()
 	})})
 	pool := directory.Pool{Service: "llm", Model: "m"}
-	all := w.view.Heads[pool]
+	all := fx.view.Heads[pool]
 	crasher := request(hostStream)
 	f := qlist.FingerprintOf([]byte("bakery"), []byte(crasher.Host), []byte(crasher.Method), []byte(crasher.URI), crasher.Body)
-	w.view.Heads[pool] = all[:1]
-	w.serve(crasher)
-	require.Eventually(t, func() bool { return crashCount(w.relay.options.Quarantine, f) == 1 }, testTimeout, time.Millisecond)
-	w.view.Heads[pool] = all[1:]
-	require.True(t, w.serve(crasher).ended, "the client receives the response")
-	require.Equal(t, 1, crashCount(w.relay.options.Quarantine, f))
+	fx.view.Heads[pool] = all[:1]
+	fx.serve(crasher)
+	require.Eventually(t, func() bool { return crashCount(fx.relay.options.Quarantine, f) == 1 }, testTimeout, time.Millisecond)
+	fx.view.Heads[pool] = all[1:]
+	require.True(t, fx.serve(crasher).ended, "the client receives the response")
+	require.Equal(t, 1, crashCount(fx.relay.options.Quarantine, f))
 }
 
 // A frequent request is in flight at endpoints that crash for unrelated reasons; each success must
 // clear it.
 func TestQuarantine_SuccessClearsCrashes(t *testing.T) {
-	w := newFixture(t, nil, []*endpoint{newEndpoint(t, events(1, 3, endStream)), newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t)})
+	fx := newFixture(t, nil, []*endpoint{newEndpoint(t, events(1, 3, endStream)), newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t), newCrashingEndpoint(t)})
 	pool := directory.Pool{Service: "llm", Model: "m"}
-	all := w.view.Heads[pool]
+	all := fx.view.Heads[pool]
 	popular := request(hostStream)
 	f := qlist.FingerprintOf([]byte("bakery"), []byte(popular.Host), []byte(popular.Method), []byte(popular.URI), popular.Body)
 	for _, crashing := range all[1:] {
-		w.view.Heads[pool] = []*directory.Head{crashing}
-		w.serve(popular)
-		require.Eventually(t, func() bool { return crashCount(w.relay.options.Quarantine, f) == 1 }, testTimeout, time.Millisecond)
-		w.view.Heads[pool] = all[:1]
-		require.Equal(t, http.StatusOK, w.serve(popular).status)
-		require.Zero(t, crashCount(w.relay.options.Quarantine, f))
+		fx.view.Heads[pool] = []*directory.Head{crashing}
+		fx.serve(popular)
+		require.Eventually(t, func() bool { return crashCount(fx.relay.options.Quarantine, f) == 1 }, testTimeout, time.Millisecond)
+		fx.view.Heads[pool] = all[:1]
+		require.Equal(t, http.StatusOK, fx.serve(popular).status)
+		require.Zero(t, crashCount(fx.relay.options.Quarantine, f))
 	}
 }
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -21,17 +21,17 @@
 }
 
 // setLimit sets the rate limit of an endpoint.
-func (w *fixture) setLimit(id serving.EndpointID) {
-	w.relay.options.Throttle.SetLimit(w.view.Endpoints[id].Incarnation(), 1, time.Now())
+func (fx *fixture) setLimit(id serving.EndpointID) {
+	fx.relay.options.Throttle.SetLimit(fx.view.Endpoints[id].Incarnation(), 1, time.Now())
 }
 
 func TestRateLimit_SendsOverflowElsewhere(t *testing.T) {
 	a, b := newEndpoint(t, events(1, 2, endStream)), newEndpoint(t, events(1, 2, endStream))
-	w := newFixture(t, nil, []*endpoint{a, b})
-	w.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
-	w.setLimit("h0")
+	fx := newFixture(t, nil, []*endpoint{a, b})
+	fx.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
+	fx.setLimit("h0")
 	for range 5 {
-		require.Equal(t, http.StatusOK, w.serve(request(hostStream)).status)
+		require.Equal(t, http.StatusOK, fx.serve(request(hostStream)).status)
 	}
 	require.Empty(t, a.requests())
 	require.Len(t, b.requests(), 5)
@@ -40,11 +40,11 @@
 func TestRateLimit_RejectsImmediately(t *testing.T) {
 	for _, host := range []string{hostStream, hostOnce} {
 		e := newEndpoint(t, events(1, 2, endStream))
-		w := newFixture(t, []*endpoint{e}, []*endpoint{e})
-		w.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
-		w.setLimit("h0")
-		w.setLimit("p0")
-		after := w.rejectedImmediately(t, host)
+		fx := newFixture(t, []*endpoint{e}, []*endpoint{e})
+		fx.useThrottle(throttle.NewTracker(denyPermits(time.Second)))
+		fx.setLimit("h0")
+		fx.setLimit("p0")
+		after := fx.rejectedImmediately(t, host)
 		require.InDelta(t, time.Second, after, float64(50*time.Millisecond), "the time of the next permit")
 		require.Empty(t, e.requests())
 	}
@@ -53,14 +53,14 @@
 // A retry that the rate limit denies must not be charged to the retry budget.
 func TestRateLimit_DoesNotChargeDeniedRetries(t *testing.T) {
 	a, b := newEndpoint(t, events(1, 3, breakStream)), newEndpoint(t, events(4, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{a, b})
-	w.useThrottle(throttle.NewTracker(denyPermits(10 * time.Second)))
-	w.setLimit("h1")
-	before := w.relay.options.Budget.State("llm", time.Now())
-	out := w.serve(request(hostStream))
+	fx := newFixture(t, nil, []*endpoint{a, b})
+	fx.useThrottle(throttle.NewTracker(denyPermits(10 * time.Second)))
+	fx.setLimit("h1")
+	before := fx.relay.options.Budget.State("llm", time.Now())
+	out := fx.serve(request(hostStream))
 	require.True(t, out.aborted)
 	require.Empty(t, b.requests())
-	after := w.relay.options.Budget.State("llm", time.Now())
+	after := fx.relay.options.Budget.State("llm", time.Now())
 	require.Equal(t, before.Retries, after.Retries)
 	require.InDelta(t, before.Slack, after.Slack, 0.01)
 }
@@ -73,10 +73,10 @@
 }
 
 // observe passes such a response to the relay.
-func (a endpointResponse) observe(w *fixture, e *serving.Endpoint) {
-	c := &call{Relay: w.relay}
+func (a endpointResponse) observe(fx *fixture, e *serving.Endpoint) {
+	c := &call{Relay: fx.relay}
 	v := Verdict{Signed: a.signed, NotRun: a.notRun}
-	c.observe(target{Endpoint: e}, v, w.relay.options.Wire.Statement(a.status, nil), &activeRequest{sentAt: time.Now().Add(time.Millisecond)}, a.status)
+	c.observe(target{Endpoint: e}, v, fx.relay.options.Wire.Statement(a.status, nil), &activeRequest{sentAt: time.Now().Add(time.Millisecond)}, a.status)
 }
 
 // statementWire is a wire whose responses all contain the same statement.
@@ -112,24 +112,24 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newFixture(t, nil, []*endpoint{newEndpoint(t, closeConn)})
-			e := w.view.Endpoints["h0"]
+			fx := newFixture(t, nil, []*endpoint{newEndpoint(t, closeConn)})
+			e := fx.view.Endpoints["h0"]
 			if test.before > 0 {
-				w.relay.options.Throttle.SetLimit(e.Incarnation(), test.before, time.Now())
+				fx.relay.options.Throttle.SetLimit(e.Incarnation(), test.before, time.Now())
 			}
-			w.relay.options.Wire = statementWire{statement: advisory.Statement{RateLimit: test.answer}}
-			endpointResponse{test.signed, test.notRun, test.status}.observe(w, e)
-			require.InDelta(t, test.want, w.relay.options.Throttle.RateLimit(e.Incarnation()).PerSecond, 0)
+			fx.relay.options.Wire = statementWire{statement: advisory.Statement{RateLimit: test.answer}}
+			endpointResponse{test.signed, test.notRun, test.status}.observe(fx, e)
+			require.InDelta(t, test.want, fx.relay.options.Throttle.RateLimit(e.Incarnation()).PerSecond, 0)
 		})
 	}
 }
 
 // rejectedImmediately sends a request that must be rejected immediately as not run, and returns its
 // Retry-After.
-func (w *fixture) rejectedImmediately(t *testing.T, host string) time.Duration {
+func (fx *fixture) rejectedImmediately(t *testing.T, host string) time.Duration {
 	t.Helper()
 	began := time.Now()
-	out := w.serve(request(host))
+	out := fx.serve(request(host))
 	require.Less(t, time.Since(began), 500*time.Millisecond)
 	require.Equal(t, http.StatusServiceUnavailable, out.status)
 	after, err := time.ParseDuration(out.header.Get("After"))
@@ -137,7 +137,7 @@
 	return after
 }
 
-func (w *fixture) useThrottle(tracker *throttle.Tracker) {
-	w.relay.options.Throttle = tracker
-	w.relay.options.Balancer.SetHold(tracker.Hold)
+func (fx *fixture) useThrottle(tracker *throttle.Tracker) {
+	fx.relay.options.Throttle = tracker
+	fx.relay.options.Balancer.SetHold(tracker.Hold)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -229,23 +229,23 @@
 		Workspaces: map[string]serving.Workspace{"secret": {Name: "bakery"}},
 	}
 	c.Index()
-	w := &fixture{view: &directory.View{Configuration: c, Endpoints: map[serving.EndpointID]*serving.Endpoint{}, Plain: map[string][]*serving.Endpoint{}, Heads: map[directory.Pool][]*directory.Head{}}}
+	fx := &fixture{view: &directory.View{Configuration: c, Endpoints: map[serving.EndpointID]*serving.Endpoint{}, Plain: map[string][]*serving.Endpoint{}, Heads: map[directory.Pool][]*directory.Head{}}}
 	for i, e := range plain {
-		w.view.Plain["shop"] = append(w.view.Plain["shop"], w.endpoint(fmt.Sprintf("p%d", i), e))
+		fx.view.Plain["shop"] = append(fx.view.Plain["shop"], fx.endpoint(fmt.Sprintf("p%d", i), e))
 	}
 	pool := directory.Pool{Service: "llm", Model: "m"}
 	for i, e := range heads {
-		w.view.Heads[pool] = append(w.view.Heads[pool], &directory.Head{Endpoint: w.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, Pace: 1})
+		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, Pace: 1})
 	}
 	m := metrics.New("n", "north")
 	t.Cleanup(m.Close)
 	balancer := NewBalancer("north", maxSource{}, DefaultWeights)
 	balancer.weights.DrawPower = math.Inf(1)
-	w.relay = New(Options{
+	fx.relay = New(Options{
 		DataCentre:  "north",
 		Wire:        testWire{},
 		Upstream:    upstream.New(upstream.Options{Link: link.New(nil), IdleTimeout: time.Minute}),
-		View:        func() *directory.View { return w.view },
+		View:        func() *directory.View { return fx.view },
 		Balancer:    balancer,
 		Demand:      NewDemand(),
 		Budget:      agedBudget(0.2, 1000, 1),
@@ -256,7 +256,7 @@
 		StallAfter:  300 * time.Millisecond,
 		MaxRequests: 100,
 	})
-	return w
+	return fx
 }
 
 // maxSource makes a balancer with an infinite DrawPower draw the first of the best groups.
@@ -264,9 +264,9 @@
 
 func (maxSource) Uint64() uint64 { return math.MaxUint64 }
 
-func (w *fixture) endpoint(id string, e *endpoint) *serving.Endpoint {
+func (fx *fixture) endpoint(id string, e *endpoint) *serving.Endpoint {
 	out := &serving.Endpoint{ID: serving.EndpointID(id), Address: e.address, DataCentre: "north", Slots: 8}
-	w.view.Endpoints[out.ID] = out
+	fx.view.Endpoints[out.ID] = out
 	return out
 }
 
@@ -277,31 +277,31 @@
 	}
 }
 
-func (w *fixture) serve(in *Request) *recorder {
+func (fx *fixture) serve(in *Request) *recorder {
 	out := &recorder{}
-	w.relay.Serve(context.Background(), in, out)
+	fx.relay.Serve(context.Background(), in, out)
 	return out
 }
 
 // Guards against a node that has just started rejecting requests before it has read the endpoints.
 func TestServe_WaitsForInitialView(t *testing.T) {
-	w := newFixture(t, []*endpoint{newEndpoint(t, respondWith(200, "good"))}, nil)
+	fx := newFixture(t, []*endpoint{newEndpoint(t, respondWith(200, "good"))}, nil)
 	known, views := atomic.Bool{}, atomic.Int64{}
-	w.relay.options.View = func() *directory.View {
+	fx.relay.options.View = func() *directory.View {
 		views.Add(1)
 		if known.Load() {
-			return w.view
+			return fx.view
 		}
-		return &directory.View{Configuration: w.view.Configuration}
+		return &directory.View{Configuration: fx.view.Configuration}
 	}
 	time.AfterFunc(viewWait/4, func() { known.Store(true) })
-	require.Equal(t, 200, w.serve(request(hostPlain)).status)
+	require.Equal(t, 200, fx.serve(request(hostPlain)).status)
 
 	known.Store(false)
-	require.Equal(t, 503, w.serve(request(hostPlain)).status, "the wait is bounded")
-	w.relay.startedAt = time.Now().Add(-2 * startupPeriod)
+	require.Equal(t, 503, fx.serve(request(hostPlain)).status, "the wait is bounded")
+	fx.relay.startedAt = time.Now().Add(-2 * startupPeriod)
 	views.Store(0)
-	require.Equal(t, 503, w.serve(request(hostPlain)).status)
+	require.Equal(t, 503, fx.serve(request(hostPlain)).status)
 	require.LessOrEqual(t, views.Load(), int64(2), "after the startup period the request is rejected immediately")
 }
 
@@ -396,9 +396,9 @@
 }
 
 func TestServe_UnavailableWithoutConfiguration(t *testing.T) {
-	w := newFixture(t, nil, nil)
-	w.view = &directory.View{}
-	out := w.serve(request(hostPlain))
+	fx := newFixture(t, nil, nil)
+	fx.view = &directory.View{}
+	out := fx.serve(request(hostPlain))
 	require.Equal(t, 503, out.status)
 	require.NotEmpty(t, out.header.Get("After"))
 }
@@ -411,33 +411,33 @@
 	})
 	first := newEndpoint(t, events(1, 2, breakStream))
 	last := newEndpoint(t, events(3, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{first, rejecting, last})
-	w.view.Endpoints["faulty"] = &serving.Endpoint{ID: "faulty", Address: "10.9.9.9:1"}
+	fx := newFixture(t, nil, []*endpoint{first, rejecting, last})
+	fx.view.Endpoints["faulty"] = &serving.Endpoint{ID: "faulty", Address: "10.9.9.9:1"}
 	// The interrupted attempt comes first, then the rejection.
-	heads := w.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
+	heads := fx.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
 	heads[1].DataCentre, heads[2].DataCentre = "south", "south"
 	for range 3 {
-		w.relay.options.Balancer.begin(heads[2].Endpoint, RequestSize{Prompt: 100}, time.Now())
+		fx.relay.options.Balancer.begin(heads[2].Endpoint, RequestSize{Prompt: 100}, time.Now())
 	}
-	out := w.serve(request(hostStream))
+	out := fx.serve(request(hostStream))
 	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
 	require.Len(t, first.requests(), 1)
 	require.Len(t, rejecting.requests(), 1)
 	require.Len(t, last.requests(), 1)
-	require.Contains(t, w.relay.options.Balancer.Suspects(time.Now()), serving.EndpointID("faulty"))
+	require.Contains(t, fx.relay.options.Balancer.Suspects(time.Now()), serving.EndpointID("faulty"))
 }
 
 // Guards against a draining node accepting requests that it cannot finish.
 func TestDrain_RejectsNewRequests(t *testing.T) {
 	e := newEndpoint(t, respondWith(200, "good"))
-	w := newFixture(t, []*endpoint{e}, nil)
-	w.relay.CloseConnections()
-	out := w.serve(request(hostOnce))
+	fx := newFixture(t, []*endpoint{e}, nil)
+	fx.relay.CloseConnections()
+	out := fx.serve(request(hostOnce))
 	require.Equal(t, 200, out.status)
 	require.Equal(t, "close", out.header.Get("Connection"))
-	w.relay.Drain()
-	out = w.serve(request(hostOnce))
+	fx.relay.Drain()
+	out = fx.serve(request(hostOnce))
 	require.Equal(t, 503, out.status)
 	require.Equal(t, "close", out.header.Get("Connection"))
 	require.NotEmpty(t, out.header.Get("After"))
@@ -515,15 +515,15 @@
 func TestServe_InterruptedStreamWaitsForGroup(t *testing.T) {
 	a := newEndpoint(t, events(1, 3, breakStream))
 	b := newEndpoint(t, events(4, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{a, b})
+	fx := newFixture(t, nil, []*endpoint{a, b})
 	pool := directory.Pool{Service: "llm", Model: "m"}
-	both := w.view.Heads[pool]
-	w.view.Heads[pool] = both[:1]
+	both := fx.view.Heads[pool]
+	fx.view.Heads[pool] = both[:1]
 	var mu sync.Mutex
-	w.relay.options.View = func() *directory.View {
+	fx.relay.options.View = func() *directory.View {
 		mu.Lock()
 		defer mu.Unlock()
-		view := *w.view
+		view := *fx.view
 		return &view
 	}
 	go func() {
@@ -533,9 +533,9 @@
 		time.Sleep(100 * time.Millisecond)
 		mu.Lock()
 		defer mu.Unlock()
-		w.view = &directory.View{Configuration: w.view.Configuration, Heads: map[directory.Pool][]*directory.Head{pool: both}}
+		fx.view = &directory.View{Configuration: fx.view.Configuration, Heads: map[directory.Pool][]*directory.Head{pool: both}}
 	}()
-	out := w.serve(request(hostStream))
+	out := fx.serve(request(hostStream))
 	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
 }
@@ -546,13 +546,13 @@
 		_, _ = c.Read(make([]byte, 1))
 		close(disconnected)
 	}))
-	w := newFixture(t, nil, []*endpoint{e})
+	fx := newFixture(t, nil, []*endpoint{e})
 	ctx, cancel := context.WithCancelCause(context.Background())
 	out := &recorder{}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.relay.Serve(ctx, request(hostStream), out)
+		fx.relay.Serve(ctx, request(hostStream), out)
 	}()
 	for len(e.requests()) == 0 {
 		time.Sleep(time.Millisecond)
@@ -586,10 +586,10 @@
 // Guards against an attempt that its client can't wait for.
 func TestServe_SendsNothingNearDeadline(t *testing.T) {
 	e := newEndpoint(t, events(1, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{e})
+	fx := newFixture(t, nil, []*endpoint{e})
 	in := request(hostStream)
 	in.Header.Set("Left", "15")
-	out := w.serve(in)
+	out := fx.serve(in)
 	require.Equal(t, 503, out.status)
 	require.Empty(t, e.requests())
 }
@@ -597,14 +597,14 @@
 // A connection may notice the deadline before the context does. The request must end with 504 and
 // not be retried.
 func TestFinishIfDone_ChecksDeadline(t *testing.T) {
-	w := newFixture(t, nil, nil)
+	fx := newFixture(t, nil, nil)
 	out := &recorder{}
-	route := w.view.Configuration.Match(hostOnce, "/")
-	c := &call{Relay: w.relay, out: out, view: w.view, route: route, in: request(hostOnce), start: time.Now(), deadline: time.Now(), mayHaveRun: true}
+	route := fx.view.Configuration.Match(hostOnce, "/")
+	c := &call{Relay: fx.relay, out: out, view: fx.view, route: route, in: request(hostOnce), start: time.Now(), deadline: time.Now(), mayHaveRun: true}
 	require.Equal(t, resultDone, c.finishIfDone(context.Background(), resultIncomplete))
 	require.Equal(t, 504, out.status)
 
-	c = &call{Relay: w.relay, out: &recorder{}, view: w.view, route: route, deadline: time.Now().Add(testTimeout), mayHaveRun: true}
+	c = &call{Relay: fx.relay, out: &recorder{}, view: fx.view, route: route, deadline: time.Now().Add(testTimeout), mayHaveRun: true}
 	require.Equal(t, resultIncomplete, c.finishIfDone(context.Background(), resultIncomplete))
 }
 
@@ -623,12 +623,12 @@
 
 // Rejected requests count towards demand.
 func TestDemand_CountsRejectedRequests(t *testing.T) {
-	w := newFixture(t, nil, nil)
-	w.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, Pace: 1}}
+	fx := newFixture(t, nil, nil)
+	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, Pace: 1}}
 	in := request(hostStream)
 	in.Header.Set("Prompt", "100000")
-	require.Equal(t, http.StatusServiceUnavailable, w.serve(in).status)
-	require.Positive(t, w.relay.options.Demand.Rates(time.Now())[directory.Pool{Service: "llm", Model: "m"}].Groups)
+	require.Equal(t, http.StatusServiceUnavailable, fx.serve(in).status)
+	require.Positive(t, fx.relay.options.Demand.Rates(time.Now())[directory.Pool{Service: "llm", Model: "m"}].Groups)
 }
 
 // A stream on a silent connection is resumed at another group, and its head does not become suspect
@@ -636,12 +636,12 @@
 func TestServe_ResumesStreamOnSilentConnection(t *testing.T) {
 	first := newEndpoint(t, events(1, 2, stall))
 	second := newEndpoint(t, events(3, 5, endStream))
-	w := newFixture(t, nil, []*endpoint{first, second})
-	heads := w.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
-	other := w.relay.options.Balancer.begin(heads[0].Endpoint, RequestSize{Prompt: 1}, time.Now())
+	fx := newFixture(t, nil, []*endpoint{first, second})
+	heads := fx.view.Heads[directory.Pool{Service: "llm", Model: "m"}]
+	other := fx.relay.options.Balancer.begin(heads[0].Endpoint, RequestSize{Prompt: 1}, time.Now())
 	defer other.end()
 	// The second head has a higher load, so the first is chosen.
-	w.relay.options.Balancer.begin(heads[1].Endpoint, RequestSize{Prompt: 1000}, time.Now())
+	fx.relay.options.Balancer.begin(heads[1].Endpoint, RequestSize{Prompt: 1000}, time.Now())
 	done := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
@@ -655,12 +655,12 @@
 			}
 		}
 	}()
-	out := w.serve(request(hostStream))
+	out := fx.serve(request(hostStream))
 	close(done)
 	<-stopped
 	require.Equal(t, eventsText(1, 5), out.body.String())
 	require.True(t, out.ended)
-	require.Empty(t, w.relay.options.Balancer.Suspects(time.Now()))
+	require.Empty(t, fx.relay.options.Balancer.Suspects(time.Now()))
 }
 
 // A client's deadline passes while the machine is suspended; the monotonic clock does not show it.
@@ -672,21 +672,21 @@
 		events(1, 1, breakStream)(c, r)
 	})
 	second := newEndpoint(t, events(2, 3, endStream))
-	w := newFixture(t, nil, []*endpoint{first, second})
+	fx := newFixture(t, nil, []*endpoint{first, second})
 	began := time.Now()
 	running := func() time.Duration { return time.Since(began) }
 	boot := func() (time.Duration, error) { return running() + time.Duration(suspended.Load()), nil }
-	w.relay.options.Clock = clock.NewFromSources(boot, running)
+	fx.relay.options.Clock = clock.NewFromSources(boot, running)
 	in := request(hostStream)
 	in.Header.Set("Left", "12000")
-	out := w.serve(in)
+	out := fx.serve(in)
 	require.True(t, out.aborted)
 	require.Empty(t, second.requests())
 
 	suspended.Store(0)
-	w.relay.options.Clock = clock.NewFromSources(boot, running)
+	fx.relay.options.Clock = clock.NewFromSources(boot, running)
 	in.Header.Set("Left", "20000")
-	out = w.serve(in)
+	out = fx.serve(in)
 	require.True(t, out.ended, "five seconds are left")
 	left, err := strconv.Atoi(second.requests()[0].Header.Get("Left"))
 	require.NoError(t, err)
