--- /dev/null
+++ b/internal/relay/buffered.go
@@ -0,0 +1,135 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/ridgehinge/ridgehinge/internal/upstream"
+)
+
+// maxBuffered is the size in bytes up to which a response is buffered before it is relayed; a
+// larger one is relayed as it arrives.
+const maxBuffered = 256 << 10
+
+// copyBufferSize is the size of the buffer for large responses, in bytes.
+const copyBufferSize = 16 << 10
+
+// bufferedResponse is an endpoint's complete response.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// drain reads the rest of a small response, so that its connection can be reused.
+func drain(response *upstream.Response) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response, copyBufferSize))
+}
+
+// relayBuffered reads a response and relays it once it is complete: until then the request can
+// still be retried elsewhere.
+func (c *call) relayBuffered(ctx context.Context, t target, active *activeRequest, response *upstream.Response) result {
+	body, err := io.ReadAll(io.LimitReader(response, maxBuffered))
+	active.recordEvent(time.Now())
+	if err != nil {
+		c.recordFailure(ctx, t, active)
+		c.logAttempt(t, "a broken answer", errors.Join(err, context.Cause(ctx)))
+		return c.finishIfDone(ctx, resultIncomplete)
+	}
+	answer := &bufferedResponse{response.Status, c.options.Wire.Answer(response.Header), body}
+	if len(body) == maxBuffered {
+		return c.relayUnbuffered(answer, response)
+	}
+	c.recordComplete(active, response, response.Status >= http.StatusInternalServerError)
+	if response.Status < http.StatusInternalServerError && !impliesNotRun(response.Status) {
+		c.sendBuffered(answer)
+		return resultDone
+	}
+	c.logAttempt(t, "the endpoint failed", errors.New("status "+strconv.Itoa(response.Status)))
+	if impliesNotRun(response.Status) {
+		// The status would tell the client that the request has not run, but it has.
+		return resultIncomplete
+	}
+	c.endpointFailure = answer
+	return resultFailed
+}
+
+// recordComplete counts a complete response. One that is no failure clears the request of
+// suspected crashes.
+func (c *call) recordComplete(active *activeRequest, response *upstream.Response, failed bool) {
+	now := time.Now()
+	active.recordOutcome(failed, now)
+	if !failed {
+		c.recordSuccess(response, now)
+	}
+}
+
+// recordSuccess tells the quarantine that the request does not crash endpoints, if the response has
+// explicit framing: one that ends with its connection looks complete even if the endpoint crashed.
+func (c *call) recordSuccess(response *upstream.Response, now time.Time) {
+	if response.Marked {
+		c.options.Quarantine.RecordSuccess(c.fingerprint, now)
+	}
+}
+
+// impliesNotRun reports whether a status tells clients that the request has not run.
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	}
+	return false
+}
+
+// sendBuffered sends the client an endpoint's complete response.
+func (c *call) sendBuffered(a *bufferedResponse) {
+	c.outcome = outcomeServed
+	if a.status >= http.StatusBadRequest {
+		c.outcome = outcomeFailed
+	}
+	a.header.Set("Content-Length", strconv.Itoa(len(a.body)))
+	c.class.FirstToken.RecordDuration(time.Since(c.start))
+	c.beginResponse(a.status, a.header)
+	if c.out.Write(a.body) != nil {
+		c.outcome = outcomeClientGone
+	}
+	c.out.End()
+}
+
+// relayUnbuffered sends what was read of a large response, and relays the rest as it arrives.
+func (c *call) relayUnbuffered(a *bufferedResponse, response *upstream.Response) result {
+	if response.Length >= 0 {
+		a.header.Set("Content-Length", strconv.FormatInt(response.Length, 10))
+	}
+	c.beginResponse(a.status, a.header)
+	part := a.body
+	buffer := make([]byte, copyBufferSize)
+	for {
+		if len(part) > 0 && c.out.Write(part) != nil {
+			c.outcome = outcomeClientGone
+			c.out.Abort()
+			return resultDone
+		}
+		n, err := response.Read(buffer)
+		part = buffer[:n]
+		switch {
+		case err == nil:
+		case errors.Is(err, io.EOF):
+			c.outcome = outcomeServed
+			c.recordSuccess(response, time.Now())
+			if n > 0 {
+				_ = c.out.Write(part)
+			}
+			c.out.End()
+			return resultDone
+		default:
+			c.outcome = outcomeIncomplete
+			c.out.Abort()
+			return resultDone
+		}
+	}
+}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -10,37 +10,36 @@
 )
 
 const (
-	// suspectedScore is more than what any endpoint has under way.
-	suspectedScore = 1000
-	// failureScore is what an endpoint that fails all requests counts for; one that
-	// fails a twentieth more than another is as if it had three requests more.
+	// suspectScore exceeds the score of any load.
+	suspectScore = 1000
+	// failureScore is the score of an endpoint that fails all requests; a failure rate of one
+	// in twenty counts like three requests in flight.
 	failureScore = 120
 )
 
-// ChoosePlain picks the endpoint of a plain service with the least under way, and with
-// the least failures. An endpoint that goes down and up by turns, or fails a part of
-// what it is sent, is left to the others, which have places enough. One of a data centre
-// that is cut off is none: a request would be held until its dial is given up, 0.7 s of
-// the 0.6 or 0.8 that it has, and refused then.
+// ChoosePlain picks the endpoint of a plain service with the fewest requests in flight and the
+// lowest failure rate. Flapping or failing endpoints are left to recover, as the others have the
+// capacity. Endpoints in unreachable data centres only get probes: dialling them would use up
+// most of the request's deadline.
 func (b *Balancer) ChoosePlain(endpoints []*serving.Endpoint, failed []serving.EndpointID, now time.Time) (*serving.Endpoint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
+	b.rotation++
 	var best *serving.Endpoint
 	bestScore := 0
 	for i := range endpoints {
-		e := endpoints[(i+b.turn)%len(endpoints)]
+		e := endpoints[(i+b.rotation)%len(endpoints)]
 		l := b.load(e.ID)
 		l.dataCentre = e.DataCentre
-		if slices.Contains(failed, e.ID) || b.isCutOff(e.DataCentre, now) || b.hold(e, now) != throttle.HoldNone {
+		if slices.Contains(failed, e.ID) || b.isUnreachable(e.DataCentre, now) || b.hold(e, now) != throttle.HoldNone {
 			continue
 		}
 		score := 2 * (l.running + l.peers.Running)
 		if now.Before(l.suspectUntil) {
-			score += suspectedScore
+			score += suspectScore
 		}
 		if b.weights.Failures == health.Compare {
-			tally, _ := l.found(e.Membership.Epoch, now)
+			tally, _ := l.observed(e.Membership.Epoch, now)
 			score += int(failureScore * tally.Rate())
 		}
 		if e.DataCentre != b.home {
@@ -53,6 +52,6 @@
 	if best == nil {
 		return nil, false
 	}
-	b.noteTry(best.DataCentre, now)
+	b.recordRemoteAttempt(best.DataCentre, now)
 	return best, true
 }
--- a/internal/relay/predict.go
+++ b/internal/relay/predict.go
@@ -10,31 +10,30 @@
 // RequestSize is the work of a request for a model engine, in tokens, and its objective.
 type RequestSize struct {
 	Prompt int
-	Answer int
-	// Objective is the time to the first event that is aimed at.
+	Output int
+	// Objective is the target for the time to the first event.
 	Objective time.Duration
 }
 
-// late reports whether a first event is predicted to come so late that its
-// request does better to come back in a moment.
-func (s RequestSize) late(p Prediction, factor float64) bool {
+// isLate reports whether the first event is predicted so late that the client should retry instead.
+func (s RequestSize) isLate(p Prediction, factor float64) bool {
 	return s.Objective > 0 && float64(p.First) > factor*float64(s.Objective)
 }
 
-// Prediction is how a request would fare at an endpoint.
+// Prediction is the expected latency of a request at an endpoint.
 type Prediction struct {
-	// First is the time to the first event, Gap the longest usual pause.
+	// First is the time to the first event, Gap the longest usual time between events.
 	First time.Duration
 	Gap   time.Duration
-	// Running is the number of requests there, Unread their prompt tokens
-	// that are not read yet.
+	// Running is the number of requests there, Unread the number of their prompt tokens that
+	// are not processed yet.
 	Running int
 	Unread  int
 }
 
-// stepsOfPass is how long the steps of one pass take by what is under way, at the pace
-// of the engine.
-func stepsOfPass(e *serving.Engine, l *load) time.Duration {
+// passStepTime returns how long the steps of one pass take at the current load and the engine's
+// nominal speed.
+func passStepTime(e *serving.Engine, l *load) time.Duration {
 	running := l.running + l.peers.Running
 	context := l.context
 	if l.running > 0 {
@@ -44,20 +43,19 @@
 	return time.Duration(e.StepsPerPass) * step
 }
 
-// passTime is the time between two events of a stream at a head that reads no prompts.
+// passTime returns the time between two events of a stream at a head that processes no prompts.
 func passTime(h *directory.Head, l *load) time.Duration {
-	return time.Duration(float64(stepsOfPass(h.Engine, l)) * h.Pace)
+	return time.Duration(float64(passStepTime(h.Engine, l)) * h.Pace)
 }
 
-// predict applies the engine's speed to what is under way at a head.
+// predict applies the engine's speed to the current load of a head.
 //
-// One pass reads at most a chunk of prompt tokens and plays a number of steps
-// for all that write; a new request has its first token once the prompts
-// before it and its own are read.
+// One pass processes at most a chunk of prompt tokens and runs its steps for all sequences; a new
+// request has its first token once the prompts before it and its own are processed.
 func predict(h *directory.Head, l *load, s RequestSize) Prediction {
 	e := h.Engine
 	running := l.running + l.peers.Running
-	steps := stepsOfPass(e, l)
+	steps := passStepTime(e, l)
 	unread := l.unread + l.peers.Unread
 	chunk := max(1, e.Chunk)
 	reading := func(tokens int) time.Duration {
