--- a/internal/throttle/cooldown_test.go
+++ b/internal/throttle/cooldown_test.go
@@ -10,32 +10,32 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// cooldown is an answer that asks for one.
-func cooldown(span time.Duration) advisory.Observation {
+// cooldownAnswer returns a response that requests a cooldown.
+func cooldownAnswer(span time.Duration) advisory.Observation {
 	return advisory.Observation{Endpoint: endpoint.Incarnation(), Statement: advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: span}}}
 }
 
-func TestCooldown_LatestEndHolds(t *testing.T) {
+func TestCooldown_KeepsLatestExpiry(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	at := func(seconds float64) time.Time { return now.Add(time.Duration(seconds * float64(time.Second))) }
-	tracker.Observe(cooldown(3*time.Second), now)
-	// Neither a shorter one nor an answer without one takes anything back.
-	tracker.Observe(cooldown(100*time.Millisecond), at(1))
+	tracker.Observe(cooldownAnswer(3*time.Second), now)
+	// Neither a shorter cooldown nor a response without one shortens it.
+	tracker.Observe(cooldownAnswer(100*time.Millisecond), at(1))
 	tracker.Observe(advisory.Observation{Endpoint: endpoint.Incarnation(), Sent: at(1.5)}, at(2))
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, at(2.99)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, at(3.26)), "jitter is bounded")
 
-	tracker.Observe(cooldown(3*time.Second), at(2))
+	tracker.Observe(cooldownAnswer(3*time.Second), at(2))
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, at(4.99)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, at(5.26)))
 	require.Equal(t, HoldNone, tracker.Hold(&serving.Endpoint{ID: "other"}, at(4)))
 }
 
-func TestCooldown_HoldsForTheIDAcrossRestarts(t *testing.T) {
+func TestCooldown_SurvivesEndpointRestart(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	tracker.Observe(cooldown(3*time.Second), now)
+	tracker.Observe(cooldownAnswer(3*time.Second), now)
 	next := *endpoint
 	next.StartedAt++
 	tracker.Forget(map[serving.EndpointID]*serving.Endpoint{next.ID: &next}, now.Add(time.Second))
@@ -45,30 +45,30 @@
 	require.Zero(t, tracker.CoolingDown())
 }
 
-func TestCooldown_PassesWhileTheMachineIsSuspended(t *testing.T) {
+func TestCooldown_ElapsesDuringSuspension(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	tracker.Observe(cooldown(10*time.Second), now)
+	tracker.Observe(cooldownAnswer(10*time.Second), now)
 	tracker.HandleSuspension(8 * time.Second)
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, now.Add(1900*time.Millisecond)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, now.Add(2300*time.Millisecond)))
 }
 
-func TestCooldownRetryAfter_IsTheFirstEnd(t *testing.T) {
+func TestCooldownRetryAfter_ReturnsEarliestExpiry(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	other := &serving.Endpoint{ID: "other"}
 	both := []*serving.Endpoint{endpoint, other}
 	require.Zero(t, tracker.CooldownRetryAfter(both, now))
-	tracker.Observe(cooldown(3*time.Second), now)
+	tracker.Observe(cooldownAnswer(3*time.Second), now)
 	require.InDelta(t, 3*time.Second, tracker.CooldownRetryAfter(both, now), float64(maxCooldownJitter))
-	o := cooldown(time.Second)
+	o := cooldownAnswer(time.Second)
 	o.Endpoint = other.Incarnation()
 	tracker.Observe(o, now)
 	require.InDelta(t, time.Second, tracker.CooldownRetryAfter(both, now), float64(maxCooldownJitter))
 }
 
-func TestObserve_UnreadableValuesChangeNothing(t *testing.T) {
+func TestObserve_IgnoresInvalidValues(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	tracker.SetLimit(endpoint.Incarnation(), 2, now)
@@ -81,8 +81,8 @@
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, now))
 }
 
-// The answer to a control call need not advertise a limit that is in force.
-func TestObserve_ControlAnswersDoNotEndALimit(t *testing.T) {
+// Responses to control calls may omit a limit that is in force.
+func TestObserve_ControlAnswersDoNotClearLimit(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	tracker.SetLimit(endpoint.Incarnation(), 2, now)
--- a/internal/throttle/draining_test.go
+++ b/internal/throttle/draining_test.go
@@ -12,19 +12,19 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// drains is an answer that says that its endpoint drains.
-func drains(inc serving.Incarnation) advisory.Observation {
+// drainingAnswer returns a response from a draining endpoint.
+func drainingAnswer(inc serving.Incarnation) advisory.Observation {
 	return advisory.Observation{Endpoint: inc, Statement: advisory.Statement{Draining: advisory.Advertised[bool]{Value: true}}}
 }
 
-func TestDraining_IsOfOneIncarnation(t *testing.T) {
-	told := 0
-	tracker := NewTracker(Options{OnDraining: func() { told++ }})
+func TestDraining_AppliesToOneIncarnation(t *testing.T) {
+	calls := 0
+	tracker := NewTracker(Options{OnDraining: func() { calls++ }})
 	now := time.Now()
-	tracker.Observe(drains(endpoint.Incarnation()), now)
-	tracker.Observe(drains(endpoint.Incarnation()), now)
-	require.Equal(t, 1, told)
-	// An answer without the mark takes nothing back: it was on its way before.
+	tracker.Observe(drainingAnswer(endpoint.Incarnation()), now)
+	tracker.Observe(drainingAnswer(endpoint.Incarnation()), now)
+	require.Equal(t, 1, calls)
+	// A response without the mark may have been in flight before; it does not clear it.
 	tracker.Observe(advisory.Observation{Endpoint: endpoint.Incarnation(), Sent: now.Add(time.Second)}, now.Add(2*time.Second))
 	require.Equal(t, HoldDraining, tracker.Hold(endpoint, now))
 
@@ -35,11 +35,11 @@
 	require.False(t, tracker.Draining(endpoint.Incarnation()))
 }
 
-// A row may be gone for a while: the store was out, or came back from an older copy.
-func TestDraining_OutlastsItsRowForAWhile(t *testing.T) {
+// A row may be missing for a while after a store outage or a restore from an older copy.
+func TestDraining_OutlivesRemovedRow(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	tracker.Observe(drains(endpoint.Incarnation()), now)
+	tracker.Observe(drainingAnswer(endpoint.Incarnation()), now)
 	tracker.Forget(nil, now.Add(time.Minute))
 	require.True(t, tracker.Draining(endpoint.Incarnation()))
 	tracker.Forget(map[serving.EndpointID]*serving.Endpoint{endpoint.ID: endpoint}, now.Add(2*time.Minute))
@@ -52,8 +52,8 @@
 func TestDelta_SendsDrainingMarks(t *testing.T) {
 	a, b, fresh := NewTracker(Options{}), NewTracker(Options{}), NewTracker(Options{})
 	now := time.Now()
-	a.Observe(drains(endpoint.Incarnation()), now)
-	// A limit that ends later takes the mark not with it.
+	a.Observe(drainingAnswer(endpoint.Incarnation()), now)
+	// Clearing a limit does not clear the mark.
 	a.SetLimit(endpoint.Incarnation(), 2, now.Add(time.Second))
 	a.ClearLimit(endpoint.Incarnation(), now.Add(2*time.Second), now.Add(3*time.Second))
 	for _, to := range []*Tracker{b, fresh} {
@@ -61,14 +61,14 @@
 		to.ApplyDelta(&at, a.Delta(&from, now), "a", now)
 		require.Equal(t, HoldDraining, to.Hold(endpoint, now))
 		a.ApplyDelta(&from, to.Delta(&at, now), "b", now)
-		require.Empty(t, a.Delta(&from, now).GetAdvisories(), "what was received is not sent again")
+		require.Empty(t, a.Delta(&from, now).GetAdvisories(), "received records are not sent back")
 	}
 }
 
 func TestRegistry_BoundsDrainingMarks(t *testing.T) {
 	tracker := NewTracker(Options{})
 	for i := range 10_000 {
-		tracker.Observe(drains(serving.Incarnation{ID: serving.EndpointID(fmt.Sprint(i))}), time.Now())
+		tracker.Observe(drainingAnswer(serving.Incarnation{ID: serving.EndpointID(fmt.Sprint(i))}), time.Now())
 	}
 	require.EqualValues(t, 4096, tracker.draining.Load())
 }
--- a/internal/throttle/gossip.go
+++ b/internal/throttle/gossip.go
@@ -11,11 +11,11 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// maxDeltaRecords bounds the records of one message.
+// maxDeltaRecords bounds the records in one message.
 const maxDeltaRecords = 128
 
-// Delta returns what the peer lacks, and acknowledges what this node has received; nil is
-// nothing.
+// Delta returns the advisories that a peer lacks and acknowledges those received from it. It
+// returns nil if there is nothing to send.
 func (t *Tracker) Delta(c *delta.Cursor, now time.Time) *sharepb.AdvisoryDelta {
 	t.mu.Lock()
 	records, version := t.registry.Changes(c.Acked(), maxDeltaRecords)
@@ -30,32 +30,31 @@
 	return out
 }
 
-// ApplyDelta applies what a peer sent.
+// ApplyDelta applies advisories from a peer.
 func (t *Tracker) ApplyDelta(c *delta.Cursor, d *sharepb.AdvisoryDelta, source string, now time.Time) {
 	c.Advance(d.GetVersion(), d.GetSeen())
-	for _, one := range d.GetAdvisories() {
-		inc, limit := FromWire(one, now)
+	for _, a := range d.GetAdvisories() {
+		inc, limit := FromWire(a, now)
 		t.applyLimit(inc, limit, source, now)
-		if one.GetDraining() {
+		if a.GetDraining() {
 			t.markDraining(inc, source, now)
 		}
 	}
 }
 
-// recordToWire encodes all that an endpoint said.
 func recordToWire(r advisory.Record, now time.Time) *sharepb.EndpointAdvisory {
 	out := ToWire(r.Incarnation, r.RateLimit, now)
 	out.Draining = r.Draining
 	return out
 }
 
-// ToWire encodes a limit for another node, its time as an age.
+// ToWire encodes a limit for a peer. Its time is sent as an age, since clocks differ.
 func ToWire(inc serving.Incarnation, l advisory.RateLimit, now time.Time) *sharepb.EndpointAdvisory {
 	return &sharepb.EndpointAdvisory{Endpoint: string(inc.ID), StartedAt: inc.StartedAt, PerSecond: l.PerSecond, AgeMs: clock.AgeMillis(l.At, now)}
 }
 
-// FromWire is the reverse of ToWire. What is no number of requests is dated before all else,
-// so that it is ignored.
+// FromWire decodes a limit from a peer. An invalid rate yields the zero limit, whose zero
+// time makes it older than any other, so that it is ignored.
 func FromWire(m *sharepb.EndpointAdvisory, now time.Time) (serving.Incarnation, advisory.RateLimit) {
 	inc := serving.Incarnation{ID: serving.EndpointID(m.GetEndpoint()), StartedAt: m.GetStartedAt()}
 	if perSecond := m.GetPerSecond(); !(perSecond >= 0) || math.IsInf(perSecond, 0) {
--- a/internal/throttle/hold.go
+++ b/internal/throttle/hold.go
@@ -7,17 +7,17 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Hold is why an endpoint may be sent no caller's request now.
+// Hold is the reason why an endpoint may not be sent requests now.
 type Hold uint8
 
 const (
-	// HoldNone endpoints may be sent requests.
+	// HoldNone means that the endpoint may be sent requests.
 	HoldNone Hold = iota
-	// HoldDraining endpoints take nothing new until they end.
+	// HoldDraining means that the endpoint accepts no new requests until it terminates.
 	HoldDraining
-	// HoldCooldown endpoints have asked this node to send nothing for a while.
+	// HoldCooldown means that the endpoint has asked this node for a cooldown.
 	HoldCooldown
-	// HoldRateLimit endpoints are known to have no permit.
+	// HoldRateLimit means that the endpoint has no permit left.
 	HoldRateLimit
 )
 
@@ -27,7 +27,7 @@
 // Temporary reports whether the hold expires while the endpoint keeps serving.
 func (h Hold) Temporary() bool { return h == HoldCooldown || h == HoldRateLimit }
 
-// Hold returns why an endpoint may be sent nothing now.
+// Hold returns the reason why an endpoint may not be sent requests now, if there is one.
 func (t *Tracker) Hold(e *serving.Endpoint, now time.Time) Hold {
 	if t.rateLimited.Load()+t.coolingDown.Load()+t.draining.Load() == 0 {
 		return HoldNone
@@ -45,14 +45,14 @@
 	return HoldNone
 }
 
-// Observe applies what an endpoint's answer says of the endpoint.
+// Observe applies the advisories in an endpoint's response.
 func (t *Tracker) Observe(o advisory.Observation, now time.Time) {
-	t.logUnreadable(o)
+	t.logInvalid(o)
 	if o.Cooldown.Value > 0 {
-		t.coolDown(o.Endpoint.ID, o.Cooldown.Value, o.Request, now)
+		t.startCooldown(o.Endpoint.ID, o.Cooldown.Value, o.Request, now)
 	}
 	if o.Draining.Value {
-		t.markDraining(o.Endpoint, "its answer", now)
+		t.markDraining(o.Endpoint, "endpoint response", now)
 	}
 	switch {
 	case o.RateLimit.Unreadable != "":
@@ -63,36 +63,35 @@
 	}
 }
 
-// maxLogged bounds the bytes of a header's value in the log.
-const maxLogged = 100
+// maxLoggedBytes truncates header values in the log.
+const maxLoggedBytes = 100
 
-// logUnreadable logs what an answer says that cannot be read. What is known stays in force.
-func (t *Tracker) logUnreadable(o advisory.Observation) {
-	t.logValue(o, "rate limit", o.RateLimit.Unreadable)
-	t.logValue(o, "cooldown", o.Cooldown.Unreadable)
-	t.logValue(o, "draining", o.Draining.Unreadable)
+// logInvalid logs advisories that could not be parsed; earlier ones stay in force.
+func (t *Tracker) logInvalid(o advisory.Observation) {
+	t.logInvalidValue(o, "rate limit", o.RateLimit.Unreadable)
+	t.logInvalidValue(o, "cooldown", o.Cooldown.Unreadable)
+	t.logInvalidValue(o, "draining", o.Draining.Unreadable)
 }
 
-// logValue logs one value that cannot be read, if there is one.
-func (t *Tracker) logValue(o advisory.Observation, name, value string) {
+func (t *Tracker) logInvalidValue(o advisory.Observation, name, value string) {
 	if value == "" {
 		return
 	}
-	t.log.Warn("endpoint's advisory cannot be read", "endpoint", string(o.Endpoint.ID), "advisory", name,
-		"value", value[:min(len(value), maxLogged)], "request", o.Request)
+	t.log.Warn("endpoint sent an invalid advisory", "endpoint", string(o.Endpoint.ID), "advisory", name,
+		"value", value[:min(len(value), maxLoggedBytes)], "request", o.Request)
 }
 
-// markDraining notes that an incarnation drains, by its own word or that of a peer.
+// markDraining records that an incarnation is draining, as reported by itself or by a peer.
 func (t *Tracker) markDraining(inc serving.Incarnation, source string, now time.Time) {
 	t.mu.Lock()
 	changed := t.registry.MarkDraining(inc, now)
 	if changed {
-		t.countLocked()
+		t.updateCountsLocked()
 	}
 	full := !t.registry.Draining(inc)
 	t.mu.Unlock()
 	if full {
-		t.log.Warn("too many advisories are known; a draining mark is not kept", "endpoint", string(inc.ID), "started_at", inc.StartedAt, "source", source)
+		t.log.Warn("too many advisories; dropped a draining mark", "endpoint", string(inc.ID), "started_at", inc.StartedAt, "source", source)
 	}
 	if !changed {
 		return
@@ -101,7 +100,7 @@
 	t.options.OnDraining()
 }
 
-// Draining reports whether an incarnation has said that it drains.
+// Draining reports whether an incarnation is known to be draining.
 func (t *Tracker) Draining(inc serving.Incarnation) bool {
 	if t.draining.Load() == 0 {
 		return false
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -12,33 +12,32 @@
 )
 
 const (
-	// allocatorTimeout bounds a request's wait for a permit: other endpoints may have one at
-	// once.
+	// allocatorTimeout bounds a request's wait for a permit; another endpoint may have one
+	// immediately.
 	allocatorTimeout = 150 * time.Millisecond
-	// allocatorBackoff is how long the allocator of a data centre is not asked after a call
-	// that was not answered.
+	// allocatorBackoff is how long a data centre's allocator is not called after a failure.
 	allocatorBackoff = 500 * time.Millisecond
-	// shareBackoff is how long an endpoint is passed over whose allocator is unreachable and
-	// of which this node's own share gave no permit.
-	shareBackoff = 100 * time.Millisecond
-	// shareWarmup is how long after its start a node takes no share: it does not know yet how
-	// many nodes there are.
+	// noPermitBackoff is how long an endpoint is skipped after its allocator was unreachable
+	// and this node's local share had no permit.
+	noPermitBackoff = 100 * time.Millisecond
+	// shareWarmup is how long after its start a node takes no permits from its local share,
+	// since it does not know yet how many nodes share the limit.
 	shareWarmup = 2 * time.Second
-	// maxRetryAfter bounds the time after which callers are told to come back.
+	// maxRetryAfter bounds the Retry-After sent to callers.
 	maxRetryAfter = 10 * time.Second
 )
 
-// Permit is an allocator's answer.
+// Permit is an allocator's response.
 type Permit struct {
 	Granted bool
-	// Wait is the time until the next permit, if there is none.
+	// Wait is the time until the next permit if none was granted.
 	Wait time.Duration
-	// Limit is what the allocator knows of the limit.
+	// Limit is the newest limit known to the allocator.
 	Limit advisory.RateLimit
 }
 
 // Acquire reports whether a request may be sent to an endpoint, and takes a permit if the
-// endpoint limits how much it takes.
+// endpoint is rate limited.
 func (t *Tracker) Acquire(ctx context.Context, e *serving.Endpoint) bool {
 	known := t.RateLimit(e.Incarnation())
 	if !known.InForce() {
@@ -47,11 +46,11 @@
 	if t.isUnreachable(e.DataCentre) {
 		return t.acquireShare(e, known)
 	}
-	asking, cancel := context.WithTimeout(ctx, allocatorTimeout)
+	askCtx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
-	permit, err := t.options.Ask(asking, e, known)
+	permit, err := t.options.Ask(askCtx, e, known)
 	if err != nil && ctx.Err() != nil {
-		// The caller has gone, or its time is over: that says nothing of the allocator.
+		// The caller disconnected or its deadline passed; the allocator may be reachable.
 		return false
 	}
 	if err != nil {
@@ -61,17 +60,17 @@
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.applyLimitLocked(e.Incarnation(), permit.Limit, "the allocator", now)
+	t.applyLimitLocked(e.Incarnation(), permit.Limit, "allocator", now)
 	if !permit.Granted {
 		t.exhausted[e.Incarnation()] = now.Add(permit.Wait)
-		t.count("denied")
+		t.countPermit("denied")
 		return false
 	}
-	t.count("granted")
+	t.countPermit("granted")
 	return true
 }
 
-func (t *Tracker) count(outcome string) {
+func (t *Tracker) countPermit(outcome string) {
 	if t.options.Metrics != nil {
 		t.options.Metrics.Inc("rate_limit_permits", map[string]string{"outcome": outcome})
 	}
@@ -90,7 +89,7 @@
 	t.unreachable[dc] = time.Now().Add(allocatorBackoff)
 }
 
-// acquireShare takes a permit out of this node's own share of the limit.
+// acquireShare takes a permit from this node's local share of the limit.
 func (t *Tracker) acquireShare(e *serving.Endpoint, known advisory.RateLimit) bool {
 	now := time.Now()
 	nodes := t.nodes()
@@ -102,15 +101,14 @@
 		t.shares[e.Incarnation()] = share
 	}
 	if now.Sub(t.started) >= shareWarmup && share.Take(known.PerSecond, nodes, rand.Float64, now) {
-		t.count("own")
+		t.countPermit("own")
 		return true
 	}
-	t.exhausted[e.Incarnation()] = now.Add(shareBackoff)
-	t.count("none")
+	t.exhausted[e.Incarnation()] = now.Add(noPermitBackoff)
+	t.countPermit("none")
 	return false
 }
 
-// nodes returns how many nodes there are.
 func (t *Tracker) nodes() int {
 	if t.options.Nodes == nil {
 		return 1
@@ -118,28 +116,28 @@
 	return max(1, t.options.Nodes())
 }
 
-// Allocate gives out a permit at an endpoint, for any node that asks, by what it knows of the
-// limit.
+// Allocate grants or denies a permit for an endpoint, after applying the limit known to the
+// node that requests it.
 func (t *Tracker) Allocate(inc serving.Incarnation, known advisory.RateLimit, now time.Time) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.applyLimitLocked(inc, known, "a node that asks", now)
+	t.applyLimitLocked(inc, known, "permit request", now)
 	l := t.registry.Lookup(inc)
 	if !l.InForce() {
 		return Permit{Granted: true, Limit: l}
 	}
-	pacer := t.pacers[inc]
-	if pacer == nil {
-		pacer = &ratelimit.TokenBucket{}
-		t.pacers[inc] = pacer
+	bucket := t.buckets[inc]
+	if bucket == nil {
+		bucket = &ratelimit.TokenBucket{}
+		t.buckets[inc] = bucket
 	}
-	granted, wait := pacer.Take(l.PerSecond, now)
+	granted, wait := bucket.Take(l.PerSecond, now)
 	return Permit{Granted: granted, Wait: wait, Limit: l}
 }
 
-// LimitRetryAfter is the time after which a caller may come back that found no permit at any
-// of some endpoints. Each caller is told a later one, by the part of the limit that this node
-// would have if all nodes told theirs so.
+// LimitRetryAfter returns the Retry-After for a caller that found no permit at any of these
+// endpoints, or zero if none has a limit. Successive callers are spaced by this node's equal
+// share of the limit, so that they do not retry together.
 func (t *Tracker) LimitRetryAfter(endpoints []*serving.Endpoint, now time.Time) time.Duration {
 	nodes := t.nodes()
 	t.mu.Lock()
@@ -151,7 +149,7 @@
 		if !t.registry.Lookup(inc).InForce() {
 			continue
 		}
-		next := latest(t.exhausted[inc], t.promised[inc], now)
+		next := latest(t.exhausted[inc], t.nextRetry[inc], now)
 		if at.IsZero() || next.Before(at) {
 			best, at = inc, next
 		}
@@ -160,11 +158,10 @@
 		return 0
 	}
 	spacing := time.Duration(float64(nodes) / t.registry.Lookup(best).PerSecond * float64(time.Second))
-	t.promised[best] = at.Add(min(spacing, maxRetryAfter))
+	t.nextRetry[best] = at.Add(min(spacing, maxRetryAfter))
 	return min(maxRetryAfter, at.Sub(now))
 }
 
-// latest returns the latest of some times.
 func latest(times ...time.Time) time.Time {
 	return slices.MaxFunc(times, time.Time.Compare)
 }
--- a/internal/throttle/tracker.go
+++ b/internal/throttle/tracker.go
@@ -1,17 +1,14 @@
-// Package throttle keeps what entry instances send to an endpoint within what the endpoint
-// asks for in its answers.
+// Package throttle makes entry instances respect the rate limits, cooldowns and draining
+// notices that endpoints advertise in their responses.
 //
-// An endpoint in need advertises how many requests a second it takes from all nodes together.
-// No node sees all of them, so one allocates permits: the node that relays for the endpoint's
-// data centre. The others ask it for one before they send, and remember until when there is
-// none. Nodes gossip limits and their ends; whoever asks for a permit includes what it knows.
+// A rate limit applies to the requests of all nodes together, so one node allocates permits:
+// the relay node of the endpoint's data centre. The others request one before they send, and
+// remember when the next one is due. Nodes gossip limits and their tombstones, and include the
+// limit that they know in each request for a permit. A node that cannot reach the allocator
+// uses a small local share of the limit: see ratelimit.LocalShare.
 //
-// A node that cannot reach the allocator takes a small share of the limit by itself: see
-// ratelimit.Share.
-//
-// An endpoint that rejects a request may ask the node for a cooldown, and one that leaves says
-// so in all its answers. Each answer's advisory.Statement comes here through Observe, and each
-// request asks Hold twice: when its endpoint is chosen, and before its first byte is written.
+// Responses are applied through Observe. Each request checks Hold twice: when its endpoint is
+// chosen, and before its first byte is written.
 package throttle
 
 import (
@@ -29,24 +26,23 @@
 
 // Options of a Tracker.
 type Options struct {
-	// Ask asks the allocator of an endpoint for a permit. An error means that it was not
-	// reached. nil has this node allocate all permits.
+	// Ask requests a permit from the allocator of an endpoint. An error means that the
+	// allocator is unreachable. If nil, this node allocates all permits itself.
 	Ask func(ctx context.Context, e *serving.Endpoint, known advisory.RateLimit) (Permit, error)
-	// Nodes returns how many nodes there are.
+	// Nodes returns the number of nodes.
 	Nodes func() int
-	// OnDraining is called when an endpoint is newly known to drain; nil does nothing.
+	// OnDraining is called when an endpoint becomes known to be draining; it may be nil.
 	OnDraining func()
 	Metrics    *metrics.Metrics
 }
 
-// Tracker is what one node knows of endpoints' advisories, and the permits that it has
-// allocated.
-// It is safe for concurrent use.
+// Tracker keeps one node's view of endpoints' advisories, and the state of the permits that it
+// allocates. It is safe for concurrent use.
 type Tracker struct {
 	options Options
 	log     logging.Logger
 	started time.Time
-	// These count limits, cooldowns and draining incarnations, so that requests take no lock
+	// Numbers of limits, cooldowns and draining incarnations, so that requests take no lock
 	// while there are none.
 	rateLimited atomic.Int64
 	coolingDown atomic.Int64
@@ -54,20 +50,20 @@
 
 	mu       sync.Mutex
 	registry *advisory.Registry
-	// exhausted tells until when endpoints have no permit, promised until when callers have
-	// been told to come back for those after that.
+	// exhausted is when endpoints have their next permit, nextRetry the end of the last
+	// Retry-After given to callers.
 	exhausted map[serving.Incarnation]time.Time
-	promised  map[serving.Incarnation]time.Time
+	nextRetry map[serving.Incarnation]time.Time
 	shares    map[serving.Incarnation]*ratelimit.LocalShare
-	// pacers are of the endpoints whose permits this node allocates.
-	pacers map[serving.Incarnation]*ratelimit.TokenBucket
-	// cooldowns tells until when endpoints have asked this node to send nothing.
+	// buckets has the endpoints whose permits this node allocates.
+	buckets map[serving.Incarnation]*ratelimit.TokenBucket
+	// cooldowns has the expiry of each endpoint's cooldown.
 	cooldowns map[serving.EndpointID]time.Time
-	// unreachable tells until when the allocator of a data centre is not asked.
+	// unreachable has the time until which a data centre's allocator is not called.
 	unreachable map[serving.DataCentre]time.Time
 }
 
-// NewTracker returns a tracker that knows nothing yet.
+// NewTracker returns an empty tracker.
 func NewTracker(o Options) *Tracker {
 	t := &Tracker{
 		options:     o,
@@ -75,9 +71,9 @@
 		started:     time.Now(),
 		registry:    advisory.NewRegistry(),
 		exhausted:   map[serving.Incarnation]time.Time{},
-		promised:    map[serving.Incarnation]time.Time{},
+		nextRetry:   map[serving.Incarnation]time.Time{},
 		shares:      map[serving.Incarnation]*ratelimit.LocalShare{},
-		pacers:      map[serving.Incarnation]*ratelimit.TokenBucket{},
+		buckets:     map[serving.Incarnation]*ratelimit.TokenBucket{},
 		cooldowns:   map[serving.EndpointID]time.Time{},
 		unreachable: map[serving.DataCentre]time.Time{},
 	}
@@ -92,16 +88,16 @@
 	return t
 }
 
-// SetLimit notes that an endpoint has advertised a limit to this node.
+// SetLimit records a rate limit that an endpoint advertised to this node.
 func (t *Tracker) SetLimit(inc serving.Incarnation, perSecond float64, now time.Time) {
-	t.applyLimit(inc, advisory.RateLimit{PerSecond: perSecond, At: now}, "its answer", now)
+	t.applyLimit(inc, advisory.RateLimit{PerSecond: perSecond, At: now}, "endpoint response", now)
 }
 
-// ClearLimit notes that an answer to a request that was sent at some time advertised no limit.
-// One that was sent before the limit was last advertised says nothing of its end.
+// ClearLimit records that the response to a request sent at a time advertised no limit. It is
+// ignored if the limit was advertised after that time.
 func (t *Tracker) ClearLimit(inc serving.Incarnation, sent, now time.Time) {
 	if t.rateLimited.Load() > 0 {
-		t.applyLimit(inc, advisory.RateLimit{At: sent}, "its answer", now)
+		t.applyLimit(inc, advisory.RateLimit{At: sent}, "endpoint response", now)
 	}
 }
 
@@ -111,22 +107,22 @@
 	t.applyLimitLocked(inc, l, source, now)
 }
 
-// applyLimitLocked takes what an endpoint said; the caller holds the lock.
+// applyLimitLocked applies an advertised limit; the caller holds the lock.
 func (t *Tracker) applyLimitLocked(inc serving.Incarnation, l advisory.RateLimit, source string, now time.Time) {
 	before := t.registry.Lookup(inc)
 	if !t.registry.ApplyLimit(inc, l) {
 		return
 	}
-	t.countLocked()
+	t.updateCountsLocked()
 	if !l.InForce() {
 		delete(t.exhausted, inc)
-		delete(t.promised, inc)
+		delete(t.nextRetry, inc)
 	}
-	t.log.Info("endpoint's rate limit has changed", "endpoint", string(inc.ID), "started_at", inc.StartedAt, "per_second", l.PerSecond,
+	t.log.Info("endpoint's rate limit changed", "endpoint", string(inc.ID), "started_at", inc.StartedAt, "per_second", l.PerSecond,
 		"before", before.PerSecond, "source", source, "age", now.Sub(l.At))
 }
 
-// RateLimit returns what is known of an endpoint's limit.
+// RateLimit returns an incarnation's rate limit; it is not in force if none is known.
 func (t *Tracker) RateLimit(inc serving.Incarnation) advisory.RateLimit {
 	if t.rateLimited.Load() == 0 {
 		return advisory.RateLimit{}
@@ -136,10 +132,10 @@
 	return t.registry.Lookup(inc)
 }
 
-// RateLimited returns the number of limits that are known.
+// RateLimited returns the number of limits in force.
 func (t *Tracker) RateLimited() int { return int(t.rateLimited.Load()) }
 
-// Forget drops what is known of incarnations that are over.
+// Forget drops the state of incarnations that were replaced or have expired, and expired cooldowns.
 func (t *Tracker) Forget(listed map[serving.EndpointID]*serving.Endpoint, now time.Time) {
 	startedAt := func(id serving.EndpointID) (int64, bool) {
 		if e := listed[id]; e != nil {
@@ -150,16 +146,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.registry.Forget(startedAt, now)
-	t.countLocked()
+	t.updateCountsLocked()
 	t.expireCooldowns(now)
-	forget(t.exhausted, t.registry)
-	forget(t.promised, t.registry)
-	forget(t.shares, t.registry)
-	forget(t.pacers, t.registry)
+	forgetUnlimited(t.exhausted, t.registry)
+	forgetUnlimited(t.nextRetry, t.registry)
+	forgetUnlimited(t.shares, t.registry)
+	forgetUnlimited(t.buckets, t.registry)
 }
 
-// forget drops what is kept of incarnations without a limit.
-func forget[V any](kept map[serving.Incarnation]V, registry *advisory.Registry) {
+// forgetUnlimited drops the entries of incarnations without a limit.
+func forgetUnlimited[V any](kept map[serving.Incarnation]V, registry *advisory.Registry) {
 	for inc := range kept {
 		if !registry.Lookup(inc).InForce() {
 			delete(kept, inc)
@@ -167,7 +163,7 @@
 	}
 }
 
-// HandleSuspension backdates what endpoints said by the time the machine was suspended.
+// HandleSuspension backdates advisories by the time for which the machine was suspended.
 func (t *Tracker) HandleSuspension(by time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,8 +173,8 @@
 	}
 }
 
-// countLocked counts what the registry has; the caller holds the lock.
-func (t *Tracker) countLocked() {
+// updateCountsLocked updates the counters from the registry; the caller holds the lock.
+func (t *Tracker) updateCountsLocked() {
 	limited, draining := t.registry.Counts()
 	t.rateLimited.Store(int64(limited))
 	t.draining.Store(int64(draining))
--- a/internal/throttle/tracker_test.go
+++ b/internal/throttle/tracker_test.go
@@ -18,10 +18,10 @@
 
 var endpoint = &serving.Endpoint{ID: "e", StartedAt: 7, DataCentre: "north"}
 
-// permits takes permits for a time, asking every millisecond of it, and counts those granted.
-func permits(t *Tracker, inc serving.Incarnation, known advisory.RateLimit, from time.Time, for_ time.Duration) int {
+// countGranted requests a permit every millisecond for a duration and counts those granted.
+func countGranted(t *Tracker, inc serving.Incarnation, known advisory.RateLimit, from time.Time, duration time.Duration) int {
 	granted := 0
-	for at := time.Duration(0); at < for_; at += time.Millisecond {
+	for at := time.Duration(0); at < duration; at += time.Millisecond {
 		if t.Allocate(inc, known, from.Add(at)).Granted {
 			granted++
 		}
@@ -29,14 +29,14 @@
 	return granted
 }
 
-func TestRateLimit_EndsByAnAnswerToALaterRequest(t *testing.T) {
+func TestRateLimit_ClearedByLaterRequestOnly(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	incarnation := endpoint.Incarnation()
 	tracker.SetLimit(incarnation, 2, now)
 	require.True(t, tracker.RateLimit(incarnation).InForce())
 
-	// The answer to a request that was sent before may be older than the need.
+	// The response to an earlier request may predate the limit.
 	tracker.ClearLimit(incarnation, now.Add(-time.Second), now.Add(time.Second))
 	require.True(t, tracker.RateLimit(incarnation).InForce())
 
@@ -44,7 +44,7 @@
 	require.False(t, tracker.RateLimit(incarnation).InForce())
 	require.True(t, tracker.Acquire(t.Context(), endpoint))
 
-	// Word of the need that is older than its end does not bring it back.
+	// A limit reported by a peer that is older than the tombstone is ignored.
 	tracker.applyLimit(incarnation, advisory.RateLimit{PerSecond: 2, At: now.Add(500 * time.Millisecond)}, "a peer", now)
 	require.False(t, tracker.RateLimit(incarnation).InForce())
 }
@@ -60,67 +60,66 @@
 	require.False(t, tracker.RateLimit(endpoint.Incarnation()).InForce())
 }
 
-func TestAllocate_FollowsAChangedLimit(t *testing.T) {
+func TestAllocate_AppliesChangedLimit(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	incarnation := endpoint.Incarnation()
-	require.InDelta(t, 80, permits(tracker, incarnation, advisory.RateLimit{PerSecond: 20, At: now}, now, 4*time.Second), 6)
-	// What had been saved up at the higher limit is gone.
+	require.InDelta(t, 80, countGranted(tracker, incarnation, advisory.RateLimit{PerSecond: 20, At: now}, now, 4*time.Second), 6)
+	// Tokens accumulated at the higher limit are dropped.
 	later := now.Add(4 * time.Second)
-	require.InDelta(t, 4, permits(tracker, incarnation, advisory.RateLimit{PerSecond: 1, At: later}, later, 4*time.Second), 1)
-	// A node that still knows the higher limit does not bring it back.
+	require.InDelta(t, 4, countGranted(tracker, incarnation, advisory.RateLimit{PerSecond: 1, At: later}, later, 4*time.Second), 1)
+	// A stale higher limit from another node is ignored.
 	latest := now.Add(8 * time.Second)
-	require.InDelta(t, 4, permits(tracker, incarnation, advisory.RateLimit{PerSecond: 20, At: now}, latest, 4*time.Second), 1)
+	require.InDelta(t, 4, countGranted(tracker, incarnation, advisory.RateLimit{PerSecond: 20, At: now}, latest, 4*time.Second), 1)
 }
 
-// An endpoint that takes next to nothing gets a request now and then: one that gets nothing
-// answers nothing, and its need would be taken to last for ever.
-func TestAllocate_ProbesAnEndpointWithATinyLimit(t *testing.T) {
+// An endpoint that gets no requests sends no responses, so its tiny limit would never clear.
+func TestAllocate_ProbesEndpointWithTinyLimit(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	require.InDelta(t, 5, permits(tracker, endpoint.Incarnation(), advisory.RateLimit{PerSecond: 1e-9, At: now}, now, 20*time.Second), 1)
+	require.InDelta(t, 5, countGranted(tracker, endpoint.Incarnation(), advisory.RateLimit{PerSecond: 1e-9, At: now}, now, 20*time.Second), 1)
 }
 
-func TestAcquire_FallsBackToTheLocalShare(t *testing.T) {
-	asked := 0
+func TestAcquire_FallsBackToLocalShare(t *testing.T) {
+	calls := 0
 	tracker := NewTracker(Options{
 		Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (Permit, error) {
-			asked++
-			return Permit{}, errors.New("cut off")
+			calls++
+			return Permit{}, errors.New("unreachable")
 		},
 		Nodes: func() int { return 9 },
 	})
 	const perSecond = 900
 	tracker.SetLimit(endpoint.Incarnation(), perSecond, time.Now())
-	require.False(t, tracker.Acquire(t.Context(), endpoint), "a fresh incarnation does not know how many there are")
+	require.False(t, tracker.Acquire(t.Context(), endpoint), "a node that has just started does not know the number of nodes")
 	require.Equal(t, HoldRateLimit, tracker.Hold(endpoint, time.Now()))
 	require.False(t, tracker.Acquire(t.Context(), endpoint))
-	require.Equal(t, 1, asked, "who does not answer is not asked by each request")
+	require.Equal(t, 1, calls, "an unreachable allocator is not called for each request")
 
 	tracker.started = time.Now().Add(-time.Minute)
-	taken := 0
+	granted := 0
 	for began := time.Now(); time.Since(began) < time.Second; time.Sleep(2 * time.Millisecond) {
 		if tracker.Acquire(t.Context(), endpoint) {
-			taken++
+			granted++
 		}
 	}
-	require.Greater(t, taken, perSecond/200)
-	require.Less(t, taken, perSecond/9)
+	require.Greater(t, granted, perSecond/200)
+	require.Less(t, granted, perSecond/9)
 }
 
-func TestAcquire_CallerThatLeavesDoesNotMarkTheAllocator(t *testing.T) {
+func TestAcquire_CancelDoesNotMarkAllocator(t *testing.T) {
 	tracker := NewTracker(Options{Ask: func(ctx context.Context, _ *serving.Endpoint, _ advisory.RateLimit) (Permit, error) {
 		return Permit{Granted: true}, ctx.Err()
 	}})
 	tracker.SetLimit(endpoint.Incarnation(), 1, time.Now())
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	require.False(t, tracker.Acquire(gone, endpoint))
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	require.False(t, tracker.Acquire(cancelled, endpoint))
 	require.False(t, tracker.isUnreachable(endpoint.DataCentre))
-	require.True(t, tracker.Acquire(t.Context(), endpoint), "the next caller's request asks")
+	require.True(t, tracker.Acquire(t.Context(), endpoint), "the next request still calls the allocator")
 }
 
-func TestLimitRetryAfter_SpacesCallersByTheLimit(t *testing.T) {
+func TestLimitRetryAfter_SpacesCallersByLimit(t *testing.T) {
 	tracker := NewTracker(Options{Nodes: func() int { return 2 }})
 	now := time.Now()
 	tracker.SetLimit(endpoint.Incarnation(), 4, now)
@@ -134,7 +133,7 @@
 	}
 }
 
-func TestDelta_SendsLimitsAndTheirEnds(t *testing.T) {
+func TestDelta_SendsLimitsAndTombstones(t *testing.T) {
 	a, b := NewTracker(Options{}), NewTracker(Options{})
 	var atA, atB delta.Cursor
 	swap := func(now time.Time) {
@@ -148,8 +147,8 @@
 	for range 4 {
 		swap(now)
 	}
-	require.Equal(t, 3*maxDeltaRecords, b.RateLimited(), "more than one message holds")
-	require.Empty(t, a.Delta(&atA, now).GetAdvisories(), "what was heard is not told again")
+	require.Equal(t, 3*maxDeltaRecords, b.RateLimited(), "sent in several messages")
+	require.Empty(t, a.Delta(&atA, now).GetAdvisories(), "received records are not sent back")
 
 	b.ClearLimit(serving.Incarnation{ID: endpoint.ID}, now.Add(time.Second), now.Add(2*time.Second))
 	swap(now.Add(2 * time.Second))
@@ -171,7 +170,7 @@
 	}
 }
 
-// A flood of limits stays within its bound, and costs what it costs: the figures are printed.
+// Guards the bounds on records kept and on the bytes of one message.
 func TestDelta_BoundsRecordsAndBytes(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
@@ -180,8 +179,8 @@
 	}
 	require.Equal(t, 4096, tracker.RateLimited())
 	var l delta.Cursor
-	told := tracker.Delta(&l, now)
-	require.Len(t, told.GetAdvisories(), maxDeltaRecords)
-	t.Logf("a message of %d limits has %d bytes", maxDeltaRecords, proto.Size(told))
-	require.Less(t, proto.Size(told), 8<<10)
+	sent := tracker.Delta(&l, now)
+	require.Len(t, sent.GetAdvisories(), maxDeltaRecords)
+	t.Logf("a message of %d limits has %d bytes", maxDeltaRecords, proto.Size(sent))
+	require.Less(t, proto.Size(sent), 8<<10)
 }
