--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -16,154 +16,152 @@
 )
 
 const (
-	// probeTimeout bounds the dial that tells an endpoint that has ended from one that broke
-	// an answer off: between data centres of one region it is answered in some ms.
+	// probeTimeout bounds the dial that distinguishes a crashed endpoint from one that only
+	// broke a response off; it covers the round trip to another data centre of the region.
 	probeTimeout = 300 * time.Millisecond
-	// probeInterval is the time between two dials of an endpoint at which requests go on
-	// breaking off: one that resets half of what it is sent would be dialed for each.
+	// probeInterval is the minimum time between two dials of an endpoint; one that resets many
+	// connections would otherwise be dialed for each.
 	probeInterval = 50 * time.Millisecond
-	// settleFor is for how long after a break an endpoint that did not refuse the dial is
-	// watched for another incarnation in its place: rows change within a heartbeat of a second.
-	settleFor  = 5 * time.Second
-	settlePoll = 100 * time.Millisecond
-	// maxBreakages bounds the endpoints that are probed at a time, and maxBrokenRequests the
-	// requests that broke off at one of them.
-	maxBreakages      = 512
-	maxBrokenRequests = 256
+	// replacementTimeout is how long after a broken request an endpoint that did not refuse
+	// the dial is watched for a new incarnation; its row appears within a heartbeat.
+	replacementTimeout = 5 * time.Second
+	replacementPoll    = 100 * time.Millisecond
+	// maxSuspectedCrashes bounds the endpoints that are probed at a time, maxBrokenRequests
+	// the broken requests that are kept for each.
+	maxSuspectedCrashes = 512
+	maxBrokenRequests   = 256
 	// maxProbeWait bounds the delay that a crash probe adds to a retry.
 	maxProbeWait = 50 * time.Millisecond
 	// crashSkew tolerates clock error in crash times reported by peers.
 	crashSkew = 250 * time.Millisecond
 )
 
-// Incarnation is one incarnation of an endpoint, as a request met it.
+// Incarnation is the incarnation of an endpoint to which a request was sent.
 type Incarnation struct {
-	// Endpoint names the endpoint, or what else requests are sent to.
+	// Endpoint is the id of the endpoint, or another name of the target.
 	Endpoint serving.EndpointID
-	// StartedAt tells incarnations of one endpoint apart, as far as this node knows.
+	// StartedAt distinguishes the incarnations of an endpoint, according to its row.
 	StartedAt int64
 	Address   string
-	// later counts incarnations that this node has seen end since, under the same id and before
-	// their rows came: an endpoint takes requests as soon as it has begun anew.
-	later int
+	// unlistedRestarts counts crashes of later incarnations whose rows have not arrived yet;
+	// a restarted endpoint accepts requests before that.
+	unlistedRestarts int
 }
 
-// hash names the incarnation among nodes.
-func (l Incarnation) hash() qlist.Incarnation {
-	return qlist.Incarnation(xxh3.HashString(string(l.Endpoint)+" "+strconv.FormatInt(l.StartedAt, 10)) + uint64(l.later))
+// hash identifies the incarnation to all nodes.
+func (i Incarnation) hash() qlist.Incarnation {
+	return qlist.Incarnation(xxh3.HashString(string(i.Endpoint)+" "+strconv.FormatInt(i.StartedAt, 10)) + uint64(i.unlistedRestarts))
 }
 
-// Detector finds out which endpoints have ended, of those at which requests broke off. A
-// dial that is refused tells at once, without asking the endpoint for anything: a process
-// that has ended leaves no listener. Answers that are broken off, connections that are
-// reset, and endpoints that are cut off are none.
+// Detector determines which endpoints crashed, among those at which requests broke off. A
+// refused dial is immediate evidence, since a terminated process leaves no listener. Truncated
+// responses, reset connections and unreachable endpoints are not counted as crashes.
 type Detector struct {
 	log        logging.Logger
 	quarantine *Quarantine
-	// replaced returns those of some incarnations that have another one in their place.
+	// replaced returns those of the given incarnations that have a successor.
 	replaced func([]Incarnation) []Incarnation
-	// dial returns nil if something listens at an address.
+	// dial returns nil if a process listens at an address.
 	dial func(ctx context.Context, address string) error
 
-	mu     sync.Mutex
-	breaks map[Incarnation]*breakage
-	// watching is set while a goroutine looks for other incarnations.
+	mu        sync.Mutex
+	suspected map[Incarnation]*suspectedCrash
+	// watching is set while a goroutine looks for replaced incarnations.
 	watching bool
 }
 
-// breakage is what broke off at one endpoint.
-type breakage struct {
-	contents []qlist.Fingerprint
-	last     time.Time
-	// dialing is set from a dial's begin until none is to follow it, again if something
-	// broke off since the last one began.
-	dialing bool
-	again   bool
-	// probed is closed when the dial that is under way has ended.
-	probed chan struct{}
-	// dialed is when the last dial began.
-	dialed time.Time
-	// crashedAt is when the endpoint was found to have crashed, zero until then.
+// suspectedCrash has the requests that broke off at one incarnation.
+type suspectedCrash struct {
+	fingerprints []qlist.Fingerprint
+	lastBroken   time.Time
+	// probing is set from the start of a dial until no other is to follow it, probeAgain if
+	// a request broke off since the last dial started.
+	probing    bool
+	probeAgain bool
+	// probeDone is closed when the dial in flight completes.
+	probeDone chan struct{}
+	// lastProbe is when the last dial started.
+	lastProbe time.Time
+	// crashedAt is when the crash was detected, zero until then.
 	crashedAt time.Time
 }
 
-// NewDetector returns a detector that records crashes in a quarantine. replaced reports which
-// of some incarnations have another one in their place by now; dial returns nil if something listens
+// NewDetector returns a detector that records crashes in a quarantine. replaced returns those
+// of the given incarnations that have a successor by now; dial returns nil if a process listens
 // at an address.
 func NewDetector(q *Quarantine, replaced func([]Incarnation) []Incarnation, dial func(context.Context, string) error) *Detector {
-	return &Detector{log: logging.For("quarantine"), quarantine: q, replaced: replaced, dial: dial, breaks: map[Incarnation]*breakage{}}
+	return &Detector{log: logging.For("quarantine"), quarantine: q, replaced: replaced, dial: dial, suspected: map[Incarnation]*suspectedCrash{}}
 }
 
-// ReportBroken notes that a request, sent when it began, broke off at an endpoint. What it
-// returns is closed once the crash probe has ended; nil if none is under way.
-func (d *Detector) ReportBroken(f qlist.Fingerprint, at Incarnation, began, now time.Time) (probed <-chan struct{}) {
+// ReportBroken records that a request, sent at began, broke off at an endpoint. The returned
+// channel is closed once the crash probe completes; it is nil if none is in flight.
+func (d *Detector) ReportBroken(f qlist.Fingerprint, at Incarnation, began, now time.Time) (probeDone <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.quarantine.endedBefore(f, at.hash(), began.Add(-crashSkew)) {
-		// Another node has seen the crash, and the row of the next incarnation has not come
-		// here yet.
-		at.later++
-	}
-	b := d.breaks[at]
-	for b != nil && !b.crashedAt.IsZero() && began.After(b.crashedAt) {
-		// What was sent after a crash reached the next incarnation.
-		at.later++
-		b = d.breaks[at]
-	}
-	if b == nil && len(d.breaks) >= maxBreakages {
+	for d.quarantine.crashedBefore(f, at.hash(), began.Add(-crashSkew)) {
+		// A peer reported the crash, and the row of the next incarnation has not arrived yet.
+		at.unlistedRestarts++
+	}
+	s := d.suspected[at]
+	for s != nil && !s.crashedAt.IsZero() && began.After(s.crashedAt) {
+		// A request sent after the crash reached the next incarnation.
+		at.unlistedRestarts++
+		s = d.suspected[at]
+	}
+	if s == nil && len(d.suspected) >= maxSuspectedCrashes {
 		return nil
 	}
-	if b == nil {
-		b = &breakage{}
-		d.breaks[at] = b
+	if s == nil {
+		s = &suspectedCrash{}
+		d.suspected[at] = s
 	}
-	b.last = now
-	if !b.crashedAt.IsZero() {
-		d.quarantine.ended(f, at.hash(), at.Endpoint, now)
+	s.lastBroken = now
+	if !s.crashedAt.IsZero() {
+		d.quarantine.addCrash(f, at.hash(), at.Endpoint, now)
 		return nil
 	}
-	if len(b.contents) < maxBrokenRequests {
-		b.contents = append(b.contents, f)
+	if len(s.fingerprints) < maxBrokenRequests {
+		s.fingerprints = append(s.fingerprints, f)
 	}
-	if b.dialing {
-		b.again = true
-		return b.probed
+	if s.probing {
+		s.probeAgain = true
+		return s.probeDone
 	}
-	b.dialing = true
-	b.probed = make(chan struct{})
-	go d.probe(at, b, b.dialed)
-	return b.probed
+	s.probing = true
+	s.probeDone = make(chan struct{})
+	go d.probe(at, s, s.lastProbe)
+	return s.probeDone
 }
 
-// AwaitProbe waits for the probe of an endpoint whose request broke off, if one more crash
-// would quarantine the request, so that no further attempt is sent before that is decided.
-func (d *Detector) AwaitProbe(ctx context.Context, f qlist.Fingerprint, probed <-chan struct{}) {
-	if probed == nil || !d.quarantine.isBlockedByOneMore(f, time.Now()) {
+// AwaitProbe waits for the crash probe if one more crash would quarantine the request, so that
+// no retry is sent before the outcome is known.
+func (d *Detector) AwaitProbe(ctx context.Context, f qlist.Fingerprint, probeDone <-chan struct{}) {
+	if probeDone == nil || !d.quarantine.blockedAfterNextCrash(f, time.Now()) {
 		return
 	}
 	timer := time.NewTimer(maxProbeWait)
 	defer timer.Stop()
 	select {
-	case <-probed:
+	case <-probeDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// probe dials the endpoint, which was last dialed at a time, and once more for as long as
-// requests break off meanwhile.
-func (d *Detector) probe(at Incarnation, b *breakage, dialed time.Time) {
+// probe dials the endpoint, and dials it again if requests broke off meanwhile.
+func (d *Detector) probe(at Incarnation, s *suspectedCrash, lastProbe time.Time) {
 	for again := true; again; {
-		time.Sleep(time.Until(dialed.Add(probeInterval)))
-		dialed = time.Now()
-		again = d.probeOnce(at, b, dialed)
+		time.Sleep(time.Until(lastProbe.Add(probeInterval)))
+		lastProbe = time.Now()
+		again = d.probeOnce(at, s, lastProbe)
 	}
 }
 
-// probeOnce dials the endpoint and reports whether a request broke off since it began.
-func (d *Detector) probeOnce(at Incarnation, b *breakage, now time.Time) bool {
+// probeOnce dials the endpoint and reports whether to dial again, since a request broke off
+// meanwhile.
+func (d *Detector) probeOnce(at Incarnation, s *suspectedCrash, now time.Time) bool {
 	d.mu.Lock()
-	b.again, b.dialed = false, now
+	s.probeAgain, s.lastProbe = false, now
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -172,78 +170,78 @@
 	defer d.mu.Unlock()
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	if refused {
-		d.recordCrash(at, b, "a dial is refused", time.Now())
+		d.recordCrash(at, s, "connection refused", time.Now())
 	}
-	b.dialing = b.again && !refused
-	close(b.probed)
-	b.probed = make(chan struct{})
-	d.startSettling()
-	return b.dialing
+	s.probing = s.probeAgain && !refused
+	close(s.probeDone)
+	s.probeDone = make(chan struct{})
+	d.watchReplacements()
+	return s.probing
 }
 
-// recordCrash charges the crash of an endpoint to all requests that broke off there; the
-// caller holds the lock.
-func (d *Detector) recordCrash(at Incarnation, b *breakage, evidence string, now time.Time) {
+// recordCrash attributes a crash to all requests that broke off at the endpoint; the caller
+// holds the lock.
+func (d *Detector) recordCrash(at Incarnation, s *suspectedCrash, evidence string, now time.Time) {
 	d.log.Info("endpoint crashed while running requests", "endpoint", string(at.Endpoint), "started_at", at.StartedAt, "address", at.Address,
-		"evidence", evidence, "requests", len(b.contents), "after", now.Sub(b.last))
-	b.crashedAt = now
-	for _, f := range b.contents {
-		d.quarantine.ended(f, at.hash(), at.Endpoint, now)
+		"evidence", evidence, "requests", len(s.fingerprints), "after", now.Sub(s.lastBroken))
+	s.crashedAt = now
+	for _, f := range s.fingerprints {
+		d.quarantine.addCrash(f, at.hash(), at.Endpoint, now)
 	}
-	b.contents = nil
+	s.fingerprints = nil
 }
 
-// startSettling looks at the endpoints until all are settled; the caller holds the lock.
-func (d *Detector) startSettling() {
-	if d.watching || len(d.breaks) == 0 {
+// watchReplacements starts checking for replaced incarnations until none is pending; the caller
+// holds the lock.
+func (d *Detector) watchReplacements() {
+	if d.watching || len(d.suspected) == 0 {
 		return
 	}
 	d.watching = true
 	go func() {
-		ticker := time.NewTicker(settlePoll)
+		ticker := time.NewTicker(replacementPoll)
 		defer ticker.Stop()
 		for now := range ticker.C {
-			if d.settle(now) {
+			if d.checkReplacements(now) {
 				return
 			}
 		}
 	}()
 }
 
-// settle looks for other incarnations in the place of those at which requests broke off, and
-// reports whether none is left to be looked at.
-func (d *Detector) settle(now time.Time) bool {
-	replaced := d.replaced(d.undecided())
+// checkReplacements records a crash for incarnations that were replaced, drops expired entries,
+// and reports whether none is left.
+func (d *Detector) checkReplacements(now time.Time) bool {
+	replaced := d.replaced(d.unresolved())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, at := range replaced {
-		if b := d.breaks[at]; b != nil && b.isUndecided() {
-			d.recordCrash(at, b, "another incarnation is in its place", now)
+		if s := d.suspected[at]; s != nil && s.isUnresolved() {
+			d.recordCrash(at, s, "replaced by another incarnation", now)
 		}
 	}
-	for at, b := range d.breaks {
-		if !b.dialing && now.Sub(b.last) > settleFor {
-			delete(d.breaks, at)
+	for at, s := range d.suspected {
+		if !s.probing && now.Sub(s.lastBroken) > replacementTimeout {
+			delete(d.suspected, at)
 		}
 	}
-	d.watching = len(d.breaks) > 0
+	d.watching = len(d.suspected) > 0
 	return !d.watching
 }
 
-// undecided returns the incarnations of which it is not known whether they have crashed. The
-// row that comes for a later incarnation is its own, and says nothing of it.
-func (d *Detector) undecided() []Incarnation {
+// unresolved returns the incarnations that may have crashed. Those with unlisted restarts are
+// left out: a new row may be their own.
+func (d *Detector) unresolved() []Incarnation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Incarnation
-	for at, b := range d.breaks {
-		if at.later == 0 && b.isUndecided() {
+	for at, s := range d.suspected {
+		if at.unlistedRestarts == 0 && s.isUnresolved() {
 			out = append(out, at)
 		}
 	}
 	return out
 }
 
-// isUndecided reports whether it is not known whether the endpoint has crashed, and no probe
-// is under way.
-func (b *breakage) isUndecided() bool { return !b.dialing && b.crashedAt.IsZero() }
+// isUnresolved reports whether no crash was detected and no probe is in flight.
+func (s *suspectedCrash) isUnresolved() bool { return !s.probing && s.crashedAt.IsZero() }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -9,54 +9,54 @@
 	qlist "github.com/ridgehinge/ridgehinge/pkg/quarantine"
 )
 
-// maxDeltaRecords bounds the records of one message, and its bytes (TestDelta_BytesOfQuarantineRecords).
+// maxDeltaRecords bounds the records in one message, and with them its size.
 const maxDeltaRecords = 64
 
-// Delta returns what the peer has not heard yet, and what this node has heard of it; nil is
-// nothing, which takes no byte of a message.
-func (q *Quarantine) Delta(l *delta.Cursor, now time.Time) *quarantinepb.News {
-	records, version := q.Changes(l.Acked(), maxDeltaRecords)
-	if version == 0 && l.Received() == 0 {
+// Delta returns the records that a peer lacks and acknowledges those received from it. It
+// returns nil if there is nothing to send.
+func (q *Quarantine) Delta(c *delta.Cursor, now time.Time) *quarantinepb.News {
+	records, version := q.Changes(c.Acked(), maxDeltaRecords)
+	if version == 0 && c.Received() == 0 {
 		return nil
 	}
-	return &quarantinepb.News{Records: toWire(records, now), Version: version, Seen: l.Received()}
+	return &quarantinepb.News{Records: toWire(records, now), Version: version, Seen: c.Received()}
 }
 
-// ApplyDelta merges what a peer tells, by whose word.
-func (q *Quarantine) ApplyDelta(l *delta.Cursor, told *quarantinepb.News, word string, now time.Time) {
-	q.Merge(fromWire(told.GetRecords(), now), word, now)
-	l.Advance(told.GetVersion(), told.GetSeen())
+// ApplyDelta merges records from a peer; source names it in the log.
+func (q *Quarantine) ApplyDelta(c *delta.Cursor, d *quarantinepb.News, source string, now time.Time) {
+	q.Merge(fromWire(d.GetRecords(), now), source, now)
+	c.Advance(d.GetVersion(), d.GetSeen())
 }
 
 func toWire(records []qlist.Record, now time.Time) []*quarantinepb.Record {
 	var out []*quarantinepb.Record
 	for _, r := range records {
-		told := &quarantinepb.Record{Fingerprint: r.Fingerprint[:], Tried: r.TrialUsed}
-		for _, end := range r.Crashes {
-			told.Ends = append(told.Ends, &quarantinepb.IncarnationEnd{Incarnation: uint64(end.Incarnation), AgeMs: clock.AgeMillis(end.At, now)})
+		record := &quarantinepb.Record{Fingerprint: r.Fingerprint[:], Tried: r.TrialUsed}
+		for _, crash := range r.Crashes {
+			record.Ends = append(record.Ends, &quarantinepb.IncarnationEnd{Incarnation: uint64(crash.Incarnation), AgeMs: clock.AgeMillis(crash.At, now)})
 		}
 		if !r.Served.IsZero() {
 			age := clock.AgeMillis(r.Served, now)
-			told.ServedAgeMs = &age
+			record.ServedAgeMs = &age
 		}
-		out = append(out, told)
+		out = append(out, record)
 	}
 	return out
 }
 
-// fromWire is the reverse of toWire. What has no fingerprint says nothing of any request.
-func fromWire(told []*quarantinepb.Record, now time.Time) []qlist.Record {
+// fromWire is the reverse of toWire. Records with an invalid fingerprint are dropped.
+func fromWire(records []*quarantinepb.Record, now time.Time) []qlist.Record {
 	var out []qlist.Record
-	for _, t := range told {
-		r := qlist.Record{TrialUsed: t.GetTried()}
-		if copy(r.Fingerprint[:], t.GetFingerprint()) != len(r.Fingerprint) {
+	for _, record := range records {
+		r := qlist.Record{TrialUsed: record.GetTried()}
+		if copy(r.Fingerprint[:], record.GetFingerprint()) != len(r.Fingerprint) {
 			continue
 		}
-		for _, end := range t.GetEnds() {
-			r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: qlist.Incarnation(end.GetIncarnation()), At: clock.FromAgeMillis(end.GetAgeMs(), now)})
+		for _, crash := range record.GetEnds() {
+			r.Crashes = append(r.Crashes, qlist.Crash{Incarnation: qlist.Incarnation(crash.GetIncarnation()), At: clock.FromAgeMillis(crash.GetAgeMs(), now)})
 		}
-		if t.ServedAgeMs != nil {
-			r.Served = clock.FromAgeMillis(t.GetServedAgeMs(), now)
+		if record.ServedAgeMs != nil {
+			r.Served = clock.FromAgeMillis(record.GetServedAgeMs(), now)
 		}
 		out = append(out, r)
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,7 +1,6 @@
-// Package quarantine keeps requests that end the endpoints that run them from being sent on: it
-// finds out which endpoints have ended under requests, and keeps what all nodes know of
-// these in a quarantine. What decides is pkg/quarantine; this package adds a lock, the log
-// and the dials.
+// Package quarantine stops requests that crash the endpoints that run them. It detects crashes,
+// attributes them to requests, and merges the records of all nodes. The rules are in
+// pkg/quarantine; this package adds locking, logging and the crash probes.
 package quarantine
 
 import (
@@ -15,44 +14,44 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Quarantine is what this node knows of requests that end the endpoints that run them. It
-// is safe for concurrent use.
+// Quarantine keeps this node's records of requests that crashed endpoints. It is safe for
+// concurrent use.
 type Quarantine struct {
 	log logging.Logger
-	// mayTry reports whether this node is the one that sends a request from quarantine
-	// to see whether it still ends endpoints.
-	mayTry func() bool
-	// known is the number of records, so that requests take no lock while there are none.
-	known atomic.Int64
+	// trialAllowed reports whether this node is the one that sends trial requests, to find
+	// out whether a quarantined request still crashes endpoints.
+	trialAllowed func() bool
+	// recordCount is the number of records, so that requests take no lock while there are none.
+	recordCount atomic.Int64
 
 	mu   sync.Mutex
 	list *qlist.List
 }
 
-// NewQuarantine returns an empty quarantine. mayTry reports whether this node is the one
-// of all that tries requests that are in it.
-func NewQuarantine(mayTry func() bool) *Quarantine {
-	return &Quarantine{log: logging.For("quarantine"), mayTry: mayTry, list: qlist.NewList()}
+// NewQuarantine returns an empty quarantine. trialAllowed reports whether this node is the one
+// that sends trial requests.
+func NewQuarantine(trialAllowed func() bool) *Quarantine {
+	return &Quarantine{log: logging.For("quarantine"), trialAllowed: trialAllowed, list: qlist.NewList()}
 }
 
-// Allowed reports whether a request with this fingerprint may be sent now, and if not what is
-// known of it. BeginAttempt asks again once an endpoint is chosen.
+// Allowed reports whether a request with this fingerprint may be sent now, and returns its
+// record. BeginAttempt checks again once an endpoint is chosen.
 func (q *Quarantine) Allowed(f qlist.Fingerprint, now time.Time) (qlist.Record, bool) {
-	if q.known.Load() == 0 {
+	if q.recordCount.Load() == 0 {
 		return qlist.Record{}, true
 	}
 	q.mu.Lock()
 	r, _ := q.list.Get(f)
-	mayTry := q.list.TrialAllowed(f, now)
+	trialAllowed := q.list.TrialAllowed(f, now)
 	q.mu.Unlock()
-	return r, !r.Blocked() || mayTry && q.mayTry()
+	return r, !r.Blocked() || trialAllowed && q.trialAllowed()
 }
 
 // BeginAttempt reports whether an allowed request may be sent, and uses up the trial of a
 // quarantined one. It is separate from Allowed so that a request that finds all groups full
 // does not use up the trial without being sent.
 func (q *Quarantine) BeginAttempt(f qlist.Fingerprint, now time.Time) bool {
-	if q.known.Load() == 0 {
+	if q.recordCount.Load() == 0 {
 		return true
 	}
 	q.mu.Lock()
@@ -64,26 +63,24 @@
 	if !q.list.StartTrial(f, now) {
 		return false
 	}
-	q.log.Info("a request is sent from quarantine, once", "content", f, "ends", len(r.Crashes))
+	q.log.Info("sending a trial request from quarantine", "content", f, "ends", len(r.Crashes))
 	return true
 }
 
-// endedBefore reports whether an incarnation is known to have ended under requests of some content
-// before a moment.
-func (q *Quarantine) endedBefore(f qlist.Fingerprint, incarnation qlist.Incarnation, at time.Time) bool {
-	if q.known.Load() == 0 {
+// crashedBefore reports whether a record has a crash of an incarnation before a time.
+func (q *Quarantine) crashedBefore(f qlist.Fingerprint, incarnation qlist.Incarnation, at time.Time) bool {
+	if q.recordCount.Load() == 0 {
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r, _ := q.list.Get(f)
-	return slices.ContainsFunc(r.Crashes, func(end qlist.Crash) bool { return end.Incarnation == incarnation && end.At.Before(at) })
+	return slices.ContainsFunc(r.Crashes, func(crash qlist.Crash) bool { return crash.Incarnation == incarnation && crash.At.Before(at) })
 }
 
-// isBlockedByOneMore reports whether requests of some content are not sent any more once
-// they have ended one more endpoint.
-func (q *Quarantine) isBlockedByOneMore(f qlist.Fingerprint, now time.Time) bool {
-	if q.known.Load() == 0 {
+// blockedAfterNextCrash reports whether one more crash would quarantine a request.
+func (q *Quarantine) blockedAfterNextCrash(f qlist.Fingerprint, now time.Time) bool {
+	if q.recordCount.Load() == 0 {
 		return false
 	}
 	q.mu.Lock()
@@ -92,94 +89,93 @@
 	return r.BlockedAfterNextCrash(now)
 }
 
-// RecordSuccess records that a request was answered completely.
+// RecordSuccess records that a request got a complete response.
 func (q *Quarantine) RecordSuccess(f qlist.Fingerprint, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.list.RecordSuccess(f, now)
 }
 
-// ended notes that an endpoint's incarnation has ended while it ran a request.
-func (q *Quarantine) ended(f qlist.Fingerprint, incarnation qlist.Incarnation, endpoint serving.EndpointID, now time.Time) {
+// addCrash records that an incarnation crashed while it ran a request.
+func (q *Quarantine) addCrash(f qlist.Fingerprint, incarnation qlist.Incarnation, endpoint serving.EndpointID, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	before, _ := q.list.Get(f)
 	if !q.list.RecordCrash(f, incarnation, now) {
 		return
 	}
-	q.known.Store(int64(q.list.Len()))
+	q.recordCount.Store(int64(q.list.Len()))
 	r, _ := q.list.Get(f)
 	if r.Blocked() && !before.Blocked() {
 		q.logBlocked(r, "endpoint "+string(endpoint), now)
 	}
 }
 
-// logBlocked logs that requests of some content are not sent any more, by whose word.
-func (q *Quarantine) logBlocked(r qlist.Record, word string, now time.Time) {
-	q.log.Warn("a request is in quarantine", "content", r.Fingerprint, "ends", len(r.Crashes), "first_age", now.Sub(r.Crashes[0].At), "word", word)
+// logBlocked logs that a fingerprint was quarantined, with the source of the last record.
+func (q *Quarantine) logBlocked(r qlist.Record, source string, now time.Time) {
+	q.log.Warn("quarantined a request", "content", r.Fingerprint, "ends", len(r.Crashes), "first_age", now.Sub(r.Crashes[0].At), "word", source)
 }
 
-// Merge adds the records of another node or of the table.
-func (q *Quarantine) Merge(records []qlist.Record, word string, now time.Time) {
+// Merge adds the records of a peer or of the table; source names it in the log.
+func (q *Quarantine) Merge(records []qlist.Record, source string, now time.Time) {
 	if len(records) == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range q.list.Merge(records, now) {
-		q.logBlocked(r, word, now)
+		q.logBlocked(r, source, now)
 	}
-	q.known.Store(int64(q.list.Len()))
+	q.recordCount.Store(int64(q.list.Len()))
 }
 
-// Changes returns at most a number of records that have changed after a version, and the
-// version up to which these are all.
-func (q *Quarantine) Changes(since uint64, most int) ([]qlist.Record, uint64) {
-	if q.known.Load() == 0 {
+// Changes returns up to limit records that changed after a version, and the version that they
+// cover.
+func (q *Quarantine) Changes(since uint64, limit int) ([]qlist.Record, uint64) {
+	if q.recordCount.Load() == 0 {
 		return nil, since
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.Changes(since, most)
+	return q.list.Changes(since, limit)
 }
 
-// Unstored returns at most a number of records with so many ends that the platform's table
-// is to hold, and which of its rows are over.
-func (q *Quarantine) Unstored(ends, most int) (write []qlist.Record, remove []qlist.Fingerprint) {
-	if q.known.Load() == 0 {
+// Unstored returns up to limit records with at least minCrashes that are to be written to the
+// platform's table, and the fingerprints of rows that are to be removed.
+func (q *Quarantine) Unstored(minCrashes, limit int) (write []qlist.Record, remove []qlist.Fingerprint) {
+	if q.recordCount.Load() == 0 {
 		return nil, nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.list.Unstored(ends, most)
+	return q.list.Unstored(minCrashes, limit)
 }
 
-// MarkStored records which rows the platform's table holds, and which it no longer has.
-func (q *Quarantine) MarkStored(held []qlist.Record, removed []qlist.Fingerprint) {
+// MarkStored records which rows the platform's table has, and which were removed.
+func (q *Quarantine) MarkStored(stored []qlist.Record, removed []qlist.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.list.MarkStored(held)
+	q.list.MarkStored(stored)
 	q.list.MarkRemoved(removed)
 }
 
-// MarkAllUnstored records that the platform's table may have lost all its rows.
+// MarkAllUnstored records that the platform's table may have lost all rows.
 func (q *Quarantine) MarkAllUnstored() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.list.MarkAllUnstored()
 }
 
-// Expire drops what is over and returns of what the table has a row.
+// Expire drops expired records and returns the fingerprints of those that have a row.
 func (q *Quarantine) Expire(now time.Time) []qlist.Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	rows := q.list.Expire(now)
-	q.known.Store(int64(q.list.Len()))
+	q.recordCount.Store(int64(q.list.Len()))
 	return rows
 }
 
-// Counts returns how many contents are known to have ended endpoints, and how many of them
-// are not sent.
+// Counts returns the number of fingerprints with crashes, and how many of them are quarantined.
 func (q *Quarantine) Counts() (known, blocked int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -9,40 +9,39 @@
 	qlist "github.com/ridgehinge/ridgehinge/pkg/quarantine"
 )
 
-// An outage had ended three endpoints under a request. When it was to be tried again all
-// groups were full, and the try counted as made: it was refused for an hour.
-func TestQuarantine_UnsentTrialIsRepeated(t *testing.T) {
+// A trial that found all groups full used to count as made, which kept the request in
+// quarantine until its record expired.
+func TestQuarantine_UnsentTrialIsNotUsedUp(t *testing.T) {
 	q := NewQuarantine(func() bool { return true })
 	f := qlist.Fingerprint{1}
 	now := time.Now()
 	for incarnation := range qlist.Incarnation(qlist.MaxCrashes) {
-		q.ended(f, incarnation, "e", now)
+		q.addCrash(f, incarnation, "e", now)
 	}
-	admits := func() bool {
-		_, admitted := q.Allowed(f, now)
-		return admitted
+	allowed := func() bool {
+		_, ok := q.Allowed(f, now)
+		return ok
 	}
-	require.False(t, admits())
+	require.False(t, allowed())
 	now = now.Add(qlist.TrialDelay)
 	for range 3 {
-		require.True(t, admits(), "none was sent yet")
+		require.True(t, allowed(), "no trial was sent yet")
 	}
 	require.True(t, q.BeginAttempt(f, now))
-	require.False(t, q.BeginAttempt(f, now), "one is sent")
-	require.False(t, admits())
+	require.False(t, q.BeginAttempt(f, now), "the trial is used up")
+	require.False(t, allowed())
 	q.RecordSuccess(f, now.Add(time.Second))
-	require.True(t, admits())
+	require.True(t, allowed())
 	require.True(t, q.BeginAttempt(f, now.Add(time.Second)))
 }
 
-// Of all nodes one sends a request from quarantine.
-func TestQuarantine_OnlyOneNodeTries(t *testing.T) {
-	q := NewQuarantine(nobody)
+func TestQuarantine_OnlyOneNodeSendsTrials(t *testing.T) {
+	q := NewQuarantine(noTrials)
 	f := qlist.Fingerprint{1}
 	now := time.Now()
 	for incarnation := range qlist.Incarnation(qlist.MaxCrashes) {
-		q.ended(f, incarnation, "e", now)
+		q.addCrash(f, incarnation, "e", now)
 	}
-	_, admitted := q.Allowed(f, now.Add(qlist.TrialDelay))
-	require.False(t, admitted)
+	_, allowed := q.Allowed(f, now.Add(qlist.TrialDelay))
+	require.False(t, allowed)
 }
--- a/pkg/advisory/advisory.go
+++ b/pkg/advisory/advisory.go
@@ -1,20 +1,19 @@
-// Package advisory keeps what endpoints say of themselves in their answers.
+// Package advisory keeps the rate limits and draining notices that endpoints advertise in their
+// responses, and computes the changes that a peer lacks.
 //
-// Inputs are what endpoints said, with the time of it; outputs are what holds now, and the
-// changes that a peer lacks. Nothing here returns errors, and there is no clock, lock or
-// socket: internal/throttle adds these.
+// The package has no clock, locks or I/O: internal/throttle adds these.
 package advisory
 
 import "time"
 
-// RateLimit is what one incarnation of an endpoint last said of how much it takes.
+// RateLimit is the limit that an incarnation of an endpoint last advertised.
 type RateLimit struct {
-	// PerSecond is the number of requests a second from all nodes together; zero is
-	// without a limit.
+	// PerSecond is the number of requests a second from all nodes together; zero means no
+	// limit.
 	PerSecond float64
-	// At is when it said so.
+	// At is when the limit was advertised.
 	At time.Time
 }
 
-// InForce reports whether there is a limit.
+// InForce reports whether the limit is set.
 func (l RateLimit) InForce() bool { return l.PerSecond > 0 }
--- a/pkg/advisory/registry.go
+++ b/pkg/advisory/registry.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxRecords bounds the incarnations of which a Registry knows something.
+	// maxRecords bounds the incarnations in a Registry.
 	maxRecords = 4096
-	// drainingTTL is how long a draining mark outlasts the last listing of its incarnation: a
-	// row may come back from an older copy of the store, or after an outage.
+	// drainingTTL is how long a draining mark is kept after its incarnation was last listed; the
+	// row may reappear after a store outage or a restore from an older copy.
 	drainingTTL = 2 * time.Minute
-	// tombstoneTTL is how long a limit that has ended is remembered, so that an older report
-	// of it does not bring it back.
+	// tombstoneTTL is how long a cleared limit is remembered, so that a stale report does not
+	// restore it.
 	tombstoneTTL = time.Minute
 )
 
-// Record is what one incarnation of an endpoint said.
+// Record has the advisories of one incarnation.
 type Record struct {
 	Incarnation serving.Incarnation
 	RateLimit   RateLimit
@@ -27,17 +27,17 @@
 	Draining bool
 }
 
-// Registry is what one node knows of what endpoints said, to it or to other nodes.
+// Registry has the advisories that a node received from endpoints and peers.
 type Registry struct {
 	records map[serving.Incarnation]*entry
-	// version counts changes; each entry has that of its last one.
+	// version counts changes; each entry has the version of its last change.
 	version uint64
 }
 
 type entry struct {
 	limit    RateLimit
 	draining bool
-	// listed is when the incarnation was last seen in the table, or was first heard of.
+	// listed is when the incarnation was last listed, or when the entry was created.
 	listed  time.Time
 	version uint64
 }
@@ -45,7 +45,7 @@
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{records: map[serving.Incarnation]*entry{}} }
 
-// Lookup returns the limit of an incarnation; the zero value is without one.
+// Lookup returns the limit of an incarnation, or the zero value.
 func (r *Registry) Lookup(inc serving.Incarnation) RateLimit {
 	if e := r.records[inc]; e != nil {
 		return e.limit
@@ -53,13 +53,13 @@
 	return RateLimit{}
 }
 
-// Draining reports whether an incarnation is known to drain.
+// Draining reports whether an incarnation is known to be draining.
 func (r *Registry) Draining(inc serving.Incarnation) bool {
 	e := r.records[inc]
 	return e != nil && e.draining
 }
 
-// Counts returns how many limits are in force, and how many incarnations drain.
+// Counts returns the numbers of limits in force and of draining incarnations.
 func (r *Registry) Counts() (limited, draining int) {
 	for _, e := range r.records {
 		if e.limit.InForce() {
@@ -72,8 +72,8 @@
 	return limited, draining
 }
 
-// ApplyLimit takes what an endpoint said of its limit, here or to another node, and reports
-// whether the limit has changed by it. What is older than what is known is ignored.
+// ApplyLimit applies a limit that an endpoint advertised to this node or to a peer, and reports
+// whether that changed it. Limits older than the current one are ignored.
 func (r *Registry) ApplyLimit(inc serving.Incarnation, l RateLimit) (changed bool) {
 	e := r.records[inc]
 	if e == nil && !l.InForce() {
@@ -93,7 +93,7 @@
 	return changed
 }
 
-// MarkDraining notes that an incarnation drains, and reports whether that is new.
+// MarkDraining records that an incarnation is draining, and reports whether that is new.
 func (r *Registry) MarkDraining(inc serving.Incarnation, now time.Time) (changed bool) {
 	e := r.records[inc]
 	if e == nil {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// add returns a new entry, or nil if there are too many.
+// add returns a new entry, or nil if the registry is full.
 func (r *Registry) add(inc serving.Incarnation, now time.Time) *entry {
 	if len(r.records) >= maxRecords {
 		return nil
@@ -117,14 +117,13 @@
 	return e
 }
 
-// touch gives an entry the version of a change.
 func (r *Registry) touch(e *entry) {
 	r.version++
 	e.version = r.version
 }
 
-// Changes returns at most a number of the records that have changed after a version, oldest
-// change first, and the version up to which these are all.
+// Changes returns up to limit records that changed after a version, oldest change first, and the
+// version that they cover.
 func (r *Registry) Changes(since uint64, limit int) ([]Record, uint64) {
 	var out []Record
 	for inc, e := range r.records {
@@ -141,8 +140,8 @@
 	return out[:limit], r.records[out[limit-1].Incarnation].version
 }
 
-// Forget drops what is over, by the incarnations that are listed: limits of others, limits
-// that ended long ago, and draining marks of incarnations that were replaced or are long gone.
+// Forget drops limits of unlisted incarnations, expired tombstones, and draining marks of
+// incarnations that were replaced or have been unlisted for drainingTTL.
 func (r *Registry) Forget(listed func(serving.EndpointID) (startedAt int64, ok bool), now time.Time) {
 	for inc, e := range r.records {
 		startedAt, ok := listed(inc.ID)
@@ -150,9 +149,9 @@
 		if ok && !replaced {
 			e.listed = now
 		}
-		limitOver := !ok || !e.limit.InForce() && now.Sub(e.limit.At) > tombstoneTTL
-		drainingOver := !e.draining || now.Sub(e.listed) > drainingTTL
-		if replaced || limitOver && drainingOver {
+		limitExpired := !ok || !e.limit.InForce() && now.Sub(e.limit.At) > tombstoneTTL
+		drainingExpired := !e.draining || now.Sub(e.listed) > drainingTTL
+		if replaced || limitExpired && drainingExpired {
 			delete(r.records, inc)
 			continue
 		}
@@ -162,7 +161,7 @@
 	}
 }
 
-// Backdate makes all statements older, as after a suspension of the machine.
+// Backdate makes all advisories older, after a suspension of the machine.
 func (r *Registry) Backdate(by time.Duration) {
 	for _, e := range r.records {
 		e.limit.At = e.limit.At.Add(-by)
--- a/pkg/advisory/statement.go
+++ b/pkg/advisory/statement.go
@@ -6,13 +6,12 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Statement is what one answer of an endpoint says of the endpoint itself, beside what it
-// says of the request. The zero value says nothing.
+// Statement has the advisories in one response of an endpoint. The zero value has none.
 type Statement struct {
-	// RateLimit is how many requests a second the endpoint takes from all nodes together.
+	// RateLimit is the number of requests a second that the endpoint accepts from all nodes
+	// together.
 	RateLimit Advertised[float64]
-	// Cooldown is for how long the endpoint, which has rejected a request, asks this node to
-	// send it no other.
+	// Cooldown is how long this node is to send no requests, after a rejection.
 	Cooldown Advertised[time.Duration]
 	// Draining is irreversible for an incarnation.
 	Draining Advertised[bool]
@@ -20,22 +19,21 @@
 
 // Advertised is one value of a Statement.
 type Advertised[T any] struct {
-	// Value is zero if the answer does not name one.
+	// Value is zero if the response has none.
 	Value T
-	// Unreadable is what the answer names in its place, for the log. It neither sets the
-	// value nor clears it.
+	// Unreadable is an invalid value in the response, for the log. It neither sets nor clears
+	// the value.
 	Unreadable string
 }
 
-// Observation is a statement with its origin.
+// Observation is a Statement with its origin.
 type Observation struct {
-	// Endpoint gave the answer. StartedAt is zero if the answer does not tell its
-	// incarnation.
+	// Endpoint sent the response. StartedAt is zero if the response does not have it.
 	Endpoint serving.Incarnation
 	Statement
-	// Sent is when the request left for the endpoint. It is zero for answers to control
-	// calls, which need not advertise a limit that is in force.
+	// Sent is when the request was sent. It is zero for control calls, whose responses may
+	// omit a limit that is in force.
 	Sent time.Time
-	// Request is the caller's request, for the log.
+	// Request is the id of the caller's request, for the log.
 	Request string
 }
--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,14 +1,13 @@
-// Package quarantine tells requests that end the endpoints that run them from those that
-// merely ran there, and keeps the former from being sent on. Such a request is known as a
-// poison request, or as a query of death.
+// Package quarantine distinguishes requests that crash the endpoints that run them, known as
+// poison requests or queries of death, from those that merely ran there, and blocks the former.
 //
-// A request is known by its content, so that all tries of it count together, whoever takes
-// them. Each node has a List of its own and tells the others what changes in it; what two
-// nodes know is merged by union, so that order and repetition of the news do not matter.
+// Requests are identified by a fingerprint of their content, so that attempts through all nodes
+// count together. Each node has a List and gossips its changes. Records are merged by union,
+// which is commutative and idempotent.
 //
-// A request that has ended Limit endpoints without ever having been answered is not sent
-// again. One that is answered elsewhere cannot be what ends endpoints: it is only there
-// often, as a popular one is at every endpoint that ends of other causes.
+// A request that has crashed MaxCrashes endpoints without ever having succeeded is blocked. One
+// that succeeds elsewhere is not the cause: a popular request is in flight at every endpoint
+// that crashes for other reasons.
 //
-// It is pure: it has no clock, goroutine or socket, and is not safe for concurrent use.
+// The package has no clock, goroutines or I/O, and is not safe for concurrent use.
 package quarantine
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/quarantine"
 )
 
-func TestFingerprintsTellPartsApart(t *testing.T) {
+func TestFingerprintOf_SeparatesParts(t *testing.T) {
 	of := func(parts ...string) quarantine.Fingerprint {
 		var raw [][]byte
 		for _, part := range parts {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFingerprintsAreRead(t *testing.T) {
+func TestParseFingerprint_RoundTrips(t *testing.T) {
 	f := quarantine.FingerprintOf([]byte("a"))
 	read, err := quarantine.ParseFingerprint(f.String())
 	require.NoError(t, err)
--- a/pkg/quarantine/list.go
+++ b/pkg/quarantine/list.go
@@ -7,53 +7,51 @@
 )
 
 const (
-	// maxRecords bounds the records: with the contents that were served lately they take
-	// 1.8 MB (TestAFloodStaysWithinItsBounds). A rack of nine endpoints that fails leaves
-	// 234 of requests that merely ran there.
+	// maxRecords bounds the memory of the list; it leaves room for the many unrelated requests
+	// that run on a rack when it fails.
 	maxRecords = 4096
-	// evictPart is the part of the records that makes room at once.
-	evictPart = 8
-	// keepFor is how long after its last end a record is kept: longer than a caller
-	// tries, and short enough for a repaired engine to serve what ended it.
-	keepFor = time.Hour
-	// clearedFor is how long a record is kept whose requests were served since: until
-	// all nodes have heard of that.
-	clearedFor = time.Minute
-	// TrialDelay is how long a request is in quarantine before one may be sent to see whether
-	// it still crashes endpoints.
+	// evictFraction is the divisor for the records that are evicted at a time.
+	evictFraction = 8
+	// recordTTL is how long a record is kept after its last change: longer than callers retry,
+	// and short enough for a repaired engine to get the request again.
+	recordTTL = time.Hour
+	// clearedTTL is how long a record without crashes is kept, so that the success reaches all
+	// nodes.
+	clearedTTL = time.Minute
+	// TrialDelay is how long a request is quarantined before it may be sent once to find out
+	// whether it still crashes endpoints.
 	TrialDelay = 30 * time.Second
 )
 
-// List is what one node knows of requests that ended endpoints.
+// List has one node's records of requests that crashed endpoints.
 type List struct {
 	records map[Fingerprint]*entry
-	// version counts changes; each entry has that of its last one.
+	// version counts changes; each entry has the version of its last change.
 	version uint64
-	served  *recent
+	served  *recentSuccesses
 }
 
-// entry is a record with what this node has done about it.
+// entry is a record with its state at this node.
 type entry struct {
 	Record
-	version uint64
-	// changedAt is when the record last changed.
+	version   uint64
 	changedAt time.Time
-	// stored is how many ends the platform's table is known to have, and storedTried
-	// whether it has the trial; inTable is set while a row stands there.
-	stored      int
-	storedTried bool
-	inTable     bool
+	// storedCrashes is the number of crashes that the platform's table is known to have,
+	// storedTrialUsed whether it has the trial, and hasRow whether it has a row at all.
+	storedCrashes   int
+	storedTrialUsed bool
+	hasRow          bool
 }
 
 // NewList returns an empty list.
 func NewList() *List {
-	return &List{records: map[Fingerprint]*entry{}, served: newRecent(servedKept)}
+	return &List{records: map[Fingerprint]*entry{}, served: newRecentSuccesses(maxRecentSuccesses)}
 }
 
 // Len returns the number of records.
 func (l *List) Len() int { return len(l.records) }
 
-// Blocked counts the records whose requests are not sent.
+// Blocked returns the number of blocked records.
 func (l *List) Blocked() int {
 	n := 0
 	for _, e := range l.records {
@@ -64,7 +62,7 @@
 	return n
 }
 
-// Get returns what is known of a content; false means nothing.
+// Get returns the record of a fingerprint, if there is one.
 func (l *List) Get(f Fingerprint) (Record, bool) {
 	e := l.records[f]
 	if e == nil {
@@ -73,57 +71,56 @@
 	return e.clone(), true
 }
 
-// RecordCrash records that an endpoint's incarnation crashed while it ran a request, and
-// reports whether this was unknown.
+// RecordCrash records that an incarnation crashed while it ran a request, and reports whether
+// that is new.
 func (l *List) RecordCrash(f Fingerprint, incarnation Incarnation, now time.Time) bool {
 	e := l.entry(f, now)
-	if !e.addEnd(Crash{incarnation, now}) {
+	if !e.addCrash(Crash{incarnation, now}) {
 		return false
 	}
-	l.changed(e, now)
+	l.touch(e, now)
 	return true
 }
 
-// RecordSuccess records that a request was answered completely.
+// RecordSuccess records that a request got a complete response.
 func (l *List) RecordSuccess(f Fingerprint, now time.Time) {
 	e := l.records[f]
 	if e == nil {
-		l.served.note(f, now)
+		l.served.add(f, now)
 		return
 	}
-	news := !e.cleared() || now.Sub(e.Served) > ageSlack
-	e.serve(now)
-	if news {
-		l.changed(e, now)
+	changed := !e.cleared() || now.Sub(e.Served) > ageTolerance
+	e.markServed(now)
+	if changed {
+		l.touch(e, now)
 	}
 }
 
-// TrialAllowed reports whether a blocked request may be sent once.
+// TrialAllowed reports whether a blocked request may be sent as a trial.
 func (l *List) TrialAllowed(f Fingerprint, now time.Time) bool {
 	e := l.records[f]
-	return e != nil && !e.TrialUsed && now.Sub(e.lastEnd()) >= TrialDelay
+	return e != nil && !e.TrialUsed && now.Sub(e.lastCrash()) >= TrialDelay
 }
 
-// StartTrial records that a blocked request is sent, and reports whether it may be.
+// StartTrial uses up a blocked request's trial, and reports whether it may be sent.
 func (l *List) StartTrial(f Fingerprint, now time.Time) bool {
 	if !l.TrialAllowed(f, now) {
 		return false
 	}
 	e := l.records[f]
 	e.TrialUsed = true
-	l.changed(e, now)
+	l.touch(e, now)
 	return true
 }
 
-// Merge adds what another node or the table knows, and returns the records that became
-// blocked by it.
+// Merge adds the records of a peer or of the table, and returns those that became blocked.
 func (l *List) Merge(records []Record, now time.Time) []Record {
 	var blocked []Record
 	for _, r := range records {
 		e := l.entry(r.Fingerprint, now)
 		before := e.Blocked()
 		if e.merge(r) {
-			l.changed(e, now)
+			l.touch(e, now)
 		}
 		if e.Blocked() && !before {
 			blocked = append(blocked, e.clone())
@@ -132,11 +129,10 @@
 	return blocked
 }
 
-// Changes returns at most a number of the records that have changed after a version, and
-// the version up to which no other has. Half of them are those with most ends, the others
-// those that changed first: told by their ends alone, as many as one message holds that
-// have two ends keep all older news from being told, and are told again each time.
-func (l *List) Changes(since uint64, most int) ([]Record, uint64) {
+// Changes returns up to limit records that changed after a version, and the version that they
+// cover. Half of them are those with the most crashes, the others the oldest changes: ordered by
+// crashes alone, a message full of records with two crashes would starve all older changes.
+func (l *List) Changes(since uint64, limit int) ([]Record, uint64) {
 	if since >= l.version {
 		return nil, l.version
 	}
@@ -149,35 +145,35 @@
 	slices.SortFunc(changed, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(a.version, b.version))
 	})
-	worst := min(most/2, len(changed))
+	worst := min(limit/2, len(changed))
 	slices.SortFunc(changed[worst:], func(a, b *entry) int { return cmp.Compare(a.version, b.version) })
-	told := min(most, len(changed))
+	count := min(limit, len(changed))
 	until := l.version
-	if told < len(changed) {
-		until = changed[told].version - 1
+	if count < len(changed) {
+		until = changed[count].version - 1
 	}
 	var out []Record
-	for _, e := range changed[:told] {
+	for _, e := range changed[:count] {
 		out = append(out, e.clone())
 	}
 	return out, until
 }
 
-// Expire drops the records that are over and returns those of which the table has a row.
+// Expire drops expired records and returns the fingerprints of those that have a row.
 func (l *List) Expire(now time.Time) []Fingerprint {
 	var rows []Fingerprint
 	for f, e := range l.records {
-		keep := keepFor
+		ttl := recordTTL
 		if e.cleared() {
-			keep = clearedFor
+			ttl = clearedTTL
 		}
-		if now.Sub(e.changedAt) <= keep {
+		if now.Sub(e.changedAt) <= ttl {
 			continue
 		}
 		if !e.Served.IsZero() {
-			l.served.note(f, e.Served)
+			l.served.add(f, e.Served)
 		}
-		if e.inTable {
+		if e.hasRow {
 			rows = append(rows, f)
 		}
 		delete(l.records, f)
@@ -185,7 +181,7 @@
 	return rows
 }
 
-// entry returns the entry of a content, a new one if there is none.
+// entry returns the entry of a fingerprint, creating it if necessary.
 func (l *List) entry(f Fingerprint, now time.Time) *entry {
 	e := l.records[f]
 	if e != nil {
@@ -194,14 +190,13 @@
 	if len(l.records) >= maxRecords {
 		l.evict()
 	}
-	e = &entry{Record: Record{Fingerprint: f, Served: l.served.at(f, now)}, changedAt: now}
+	e = &entry{Record: Record{Fingerprint: f, Served: l.served.lastServed(f, now)}, changedAt: now}
 	l.records[f] = e
 	return e
 }
 
-// evict makes room: those that were served since, then those with the fewest ends go
-// first, the oldest of them before others. A flood of requests that merely ran somewhere
-// pushes out none that has ended several endpoints.
+// evict drops the records with the fewest crashes, oldest first, so that a flood of unrelated
+// requests does not evict one that has crashed several endpoints.
 func (l *List) evict() {
 	all := make([]*entry, 0, len(l.records))
 	for _, e := range l.records {
@@ -210,12 +205,12 @@
 	slices.SortFunc(all, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(len(a.Crashes), len(b.Crashes)), a.changedAt.Compare(b.changedAt))
 	})
-	for _, e := range all[:maxRecords/evictPart] {
+	for _, e := range all[:maxRecords/evictFraction] {
 		delete(l.records, e.Fingerprint)
 	}
 }
 
-func (l *List) changed(e *entry, now time.Time) {
+func (l *List) touch(e *entry, now time.Time) {
 	l.version++
 	e.version = l.version
 	e.changedAt = now
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Incarnation names one incarnation of an endpoint.
+// Incarnation identifies one incarnation of an endpoint.
 type Incarnation uint64
 
 // Crash is a crash of an endpoint while it ran a request.
@@ -14,16 +14,15 @@
 	At          time.Time
 }
 
-// Record is what is known of the requests of one content.
+// Record has the crashes and the last success of one fingerprint.
 type Record struct {
 	Fingerprint Fingerprint
 	// Crashes are those of different incarnations since the request last succeeded, ordered
 	// by time.
 	Crashes []Crash
-	// Served is when such a request was last answered whole; zero is never.
+	// Served is when such a request last got a complete response; zero if never.
 	Served time.Time
-	// TrialUsed is set once such a request was sent from quarantine to see whether it still
-	// crashes endpoints.
+	// TrialUsed is set once such a request was sent as a trial.
 	TrialUsed bool
 }
 
@@ -32,94 +31,92 @@
 	// streams that were resumed at another endpoint beside the request that crashed theirs
 	// would be quarantined with it.
 	MaxCrashes = 3
-	// maxEnds bounds the ends that are kept of one record: more tell nothing.
-	maxEnds = 8
-	// waveSpan is within what time ends count as one of a request that was served
-	// before: a rack or a data centre that fails ends many endpoints at once, and a
-	// popular request runs on several of them.
-	waveSpan = time.Second
+	// maxCrashesKept bounds the size of a record.
+	maxCrashesKept = 8
+	// burstWindow is the time within which crashes count as one for a request that has
+	// succeeded before: a rack or data centre that fails takes many endpoints down at once,
+	// and a popular request runs on several of them.
+	burstWindow = time.Second
 )
 
-// Blocked reports whether requests of the record are not to be sent.
+// Blocked reports whether requests with this fingerprint may not be sent.
 func (r *Record) Blocked() bool {
 	if r.Served.IsZero() {
 		return len(r.Crashes) >= MaxCrashes
 	}
-	return r.waves() >= MaxCrashes
+	return r.bursts() >= MaxCrashes
 }
 
-// BlockedAfterNextCrash reports whether the record is blocked if an endpoint crashes under
-// such a request now.
+// BlockedAfterNextCrash reports whether one more crash now would block the record.
 func (r *Record) BlockedAfterNextCrash(now time.Time) bool {
 	next := r.clone()
 	next.Crashes = append(next.Crashes, Crash{At: now})
 	return next.Blocked()
 }
 
-// waves counts the ends, those of one wave as one.
-func (r *Record) waves() int {
-	waves := 0
-	var wave time.Time
-	for _, end := range r.Crashes {
-		if waves == 0 || end.At.Sub(wave) >= waveSpan {
-			waves++
-			wave = end.At
+// bursts counts the crashes, those of one burst as one.
+func (r *Record) bursts() int {
+	bursts := 0
+	var start time.Time
+	for _, crash := range r.Crashes {
+		if bursts == 0 || crash.At.Sub(start) >= burstWindow {
+			bursts++
+			start = crash.At
 		}
 	}
-	return waves
+	return bursts
 }
 
-// cleared reports whether the request was served after all of its ends.
+// cleared reports whether the request succeeded after its last crash.
 func (r *Record) cleared() bool { return len(r.Crashes) == 0 }
 
-// lastEnd returns when an endpoint last ended, zero if none has.
-func (r *Record) lastEnd() time.Time {
+// lastCrash returns the time of the last crash, zero if there is none.
+func (r *Record) lastCrash() time.Time {
 	if len(r.Crashes) == 0 {
 		return time.Time{}
 	}
 	return r.Crashes[len(r.Crashes)-1].At
 }
 
-// addEnd adds an end and reports whether it is a new one that counts.
-func (r *Record) addEnd(end Crash) bool {
-	known := func(other Crash) bool { return other.Incarnation == end.Incarnation }
-	if len(r.Crashes) >= maxEnds || !end.At.After(r.Served) || slices.ContainsFunc(r.Crashes, known) {
+// addCrash adds a crash and reports whether it is new and after the last success.
+func (r *Record) addCrash(crash Crash) bool {
+	known := func(other Crash) bool { return other.Incarnation == crash.Incarnation }
+	if len(r.Crashes) >= maxCrashesKept || !crash.At.After(r.Served) || slices.ContainsFunc(r.Crashes, known) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.Crashes, end, func(a, b Crash) int { return a.At.Compare(b.At) })
-	r.Crashes = slices.Insert(r.Crashes, at, end)
+	at, _ := slices.BinarySearchFunc(r.Crashes, crash, func(a, b Crash) int { return a.At.Compare(b.At) })
+	r.Crashes = slices.Insert(r.Crashes, at, crash)
 	return true
 }
 
-// serve notes when the request was served; ends before say nothing against it any more.
-func (r *Record) serve(at time.Time) {
+// markServed records a success and drops the crashes before it.
+func (r *Record) markServed(at time.Time) {
 	r.Served = at
-	r.Crashes = slices.DeleteFunc(r.Crashes, func(end Crash) bool { return !end.At.After(at) })
+	r.Crashes = slices.DeleteFunc(r.Crashes, func(crash Crash) bool { return !crash.At.After(at) })
 }
 
-// ageSlack is by how much the time of an answer may differ between nodes without being
-// news: it is told as an age, and messages take a while.
-const ageSlack = 500 * time.Millisecond
+// ageTolerance is the largest difference in the time of a success that is not a change: times
+// are sent as ages, and messages are delayed.
+const ageTolerance = 500 * time.Millisecond
 
-// merge adds what another record of the same content knows, and reports whether that is
-// news.
+// merge adds another record of the same fingerprint, and reports whether that changed r.
 func (r *Record) merge(other Record) bool {
-	news := false
-	if other.Served.After(r.Served.Add(ageSlack)) {
-		r.serve(other.Served)
-		news = true
+	changed := false
+	if other.Served.After(r.Served.Add(ageTolerance)) {
+		r.markServed(other.Served)
+		changed = true
 	}
-	for _, end := range other.Crashes {
-		news = r.addEnd(end) || news
+	for _, crash := range other.Crashes {
+		changed = r.addCrash(crash) || changed
 	}
 	if other.TrialUsed && !r.TrialUsed {
 		r.TrialUsed = true
-		news = true
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (r *Record) clone() Record {
 	out := *r
 	out.Crashes = slices.Clone(r.Crashes)
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -1,47 +1,44 @@
 package quarantine
 
-// What has ended all but one of the endpoints that it may end is written to the platform's
-// table: if all nodes are killed, fewer ends than those are forgotten at a time.
-
-// Unstored returns at most a number of records with so many ends or more of which the table
-// does not have all, and the contents of which it has a row that is not needed any more,
-// since such requests were served.
-func (l *List) Unstored(ends, most int) (write []Record, remove []Fingerprint) {
+// Unstored returns up to limit records with at least minCrashes that the platform's table lacks
+// or has in part, and the fingerprints of rows that are obsolete since the request succeeded.
+// The table preserves records when all nodes are killed.
+func (l *List) Unstored(minCrashes, limit int) (write []Record, remove []Fingerprint) {
 	for f, e := range l.records {
-		lacks := e.stored < min(len(e.Crashes), MaxCrashes) || e.TrialUsed && !e.storedTried
+		incomplete := e.storedCrashes < min(len(e.Crashes), MaxCrashes) || e.TrialUsed && !e.storedTrialUsed
 		switch {
-		case e.inTable && e.cleared():
+		case e.hasRow && e.cleared():
 			remove = append(remove, f)
-		case len(write) < most && !e.cleared() && len(e.Crashes) >= ends && lacks:
+		case len(write) < limit && !e.cleared() && len(e.Crashes) >= minCrashes && incomplete:
 			write = append(write, e.clone())
 		}
 	}
 	return write, remove
 }
 
-// MarkStored records that the table has rows of these records as given.
+// MarkStored records that the table has these records.
 func (l *List) MarkStored(records []Record) {
 	for _, r := range records {
 		if e := l.records[r.Fingerprint]; e != nil {
-			e.inTable = true
-			e.stored = max(e.stored, len(r.Crashes))
-			e.storedTried = e.storedTried || r.TrialUsed
+			e.hasRow = true
+			e.storedCrashes = max(e.storedCrashes, len(r.Crashes))
+			e.storedTrialUsed = e.storedTrialUsed || r.TrialUsed
 		}
 	}
 }
 
-// MarkAllUnstored records that the table may have lost all rows that it had.
+// MarkAllUnstored records that the table may have lost all rows.
 func (l *List) MarkAllUnstored() {
 	for _, e := range l.records {
-		e.inTable, e.stored, e.storedTried = false, 0, false
+		e.hasRow, e.storedCrashes, e.storedTrialUsed = false, 0, false
 	}
 }
 
 // MarkRemoved records that the table no longer has rows of these fingerprints.
-func (l *List) MarkRemoved(contents []Fingerprint) {
-	for _, f := range contents {
+func (l *List) MarkRemoved(fingerprints []Fingerprint) {
+	for _, f := range fingerprints {
 		if e := l.records[f]; e != nil {
-			e.inTable, e.stored, e.storedTried = false, 0, false
+			e.hasRow, e.storedCrashes, e.storedTrialUsed = false, 0, false
 		}
 	}
 }
