--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -362,7 +362,7 @@
 	<-e.controlDone
 	release, cancel := context.WithTimeout(context.Background(), time.Second)
 	e.controller.Release(release)
-	e.gossip.Leave(release)
+	e.gossip.AnnounceStop(release)
 	cancel()
 	time.Sleep(time.Until(began.Add(e.settings.StopNotice)))
 	// Callers may still be led here, while few other nodes are ready. What
--- a/internal/gossip/configuration.go
+++ b/internal/gossip/configuration.go
@@ -8,54 +8,52 @@
 	"github.com/samber/oops"
 )
 
-// maxConfiguration bounds a configuration from a peer once it is unpacked, in bytes:
-// far more than the store takes in a row.
-const maxConfiguration = 16 << 20
+// maxConfigurationBytes bounds a decompressed configuration from a peer; it exceeds what the
+// store accepts in a row.
+const maxConfigurationBytes = 16 << 20
 
-// compressedConfiguration keeps the newest configuration as it is sent to peers, so
-// that it is packed once and not for each of them. One of 1,400 routes, sent unpacked by
-// each controller to its sixty nodes, fills their links for seconds.
+// compressedConfiguration caches the newest configuration in compressed form, so that it is
+// compressed once and not for each peer. Uncompressed, a large one would saturate the links.
 type compressedConfiguration struct {
 	version uint64
 	packed  []byte
 }
 
-// of returns a configuration packed.
-func (c *compressedConfiguration) of(version uint64, value []byte) []byte {
+// compress returns a configuration in compressed form.
+func (c *compressedConfiguration) compress(version uint64, value []byte) []byte {
 	if c.version != version {
 		c.version, c.packed = version, pack(value)
 	}
 	return c.packed
 }
 
-// pack compresses a text.
 func pack(value []byte) []byte {
 	var out bytes.Buffer
-	// The level is a valid constant, and a buffer takes all that is written.
+	// The level is valid, and writing to a buffer never fails.
 	w, _ := flate.NewWriter(&out, flate.BestSpeed)
 	_, _ = w.Write(value)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack is the reverse of pack; the error says that the text is broken or larger
-// than the bound.
+// unpack is the reverse of pack. It rejects corrupt data and configurations larger than
+// maxConfigurationBytes.
 func unpack(packed []byte) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxConfiguration+1))
+	value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxConfigurationBytes+1))
 	if err != nil {
-		return nil, oops.In("peers").Wrapf(err, "unpack a configuration")
+		return nil, oops.In("peers").Wrapf(err, "decompress a configuration")
 	}
-	if len(value) > maxConfiguration {
-		return nil, oops.In("peers").Errorf("a configuration of over %d bytes", maxConfiguration)
+	if len(value) > maxConfigurationBytes {
+		return nil, oops.In("peers").Errorf("configuration exceeds %d bytes", maxConfigurationBytes)
 	}
 	return value, nil
 }
 
-// takeConfiguration takes one that a peer sent.
-func (g *Gossiper) takeConfiguration(packed []byte, from string) {
+// applyConfiguration applies a configuration from a peer.
+func (g *Gossiper) applyConfiguration(packed []byte, from string) {
 	value, err := unpack(packed)
 	if err != nil {
-		g.log.Error("a peer's configuration cannot be read; the last one stays in force", "peer", from, "error", err)
+		g.log.Error("failed to read a peer's configuration; keeping the current one", "peer", from, "error", err)
 		return
 	}
 	g.directory.ApplyConfiguration(value, "peer "+from)
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -16,11 +16,11 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// take applies a peer's message.
-func (g *Gossiper) take(m *peers.ShareMessage, address string) *peer {
+// applyMessage applies a peer's message and returns the peer.
+func (g *Gossiper) applyMessage(m *peers.ShareMessage, address string) *peer {
 	now := time.Now()
 	if packed := m.GetConfiguration(); len(packed) > 0 {
-		g.takeConfiguration(packed, m.GetFrom().GetId())
+		g.applyConfiguration(packed, m.GetFrom().GetId())
 	}
 	before, _ := g.directory.TableVersion()
 	if m.GetEndpointsVersion() > 0 {
@@ -31,39 +31,39 @@
 		g.directory.Observe(fromObservation(o), false, now)
 	}
 	if len(m.GetDemand())+len(m.GetRelayedDemand()) > 0 {
-		g.asked.Store(true)
+		g.demandReported.Store(true)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if after > before {
-		g.rowsHeard = now
+		g.rowsReceived = now
 	}
 	if known := g.peers[address]; known != nil && known.id != m.GetFrom().GetId() {
-		// A restarted peer has nothing of what it was sent before.
+		// A restarted peer has lost what it received before.
 		known.observations, known.observationsSeen = 0, 0
 		known.quarantine = delta.Cursor{}
 		known.advisories = delta.Cursor{}
 	}
-	p := g.meet(address, m.GetFrom().GetId(), m.GetFrom().GetDataCentre())
+	p := g.addPeer(address, m.GetFrom().GetId(), m.GetFrom().GetDataCentre())
 	if p == nil {
 		return nil
 	}
 	p.cores = m.GetFrom().GetCores()
-	for _, named := range m.GetKnown() {
-		if known := g.meet(named.GetAddress(), named.GetId(), named.GetDataCentre()); known != nil {
-			known.cores = named.GetCores()
-			if named.GetRelays() {
-				known.toldRelay = now
+	for _, node := range m.GetKnown() {
+		if known := g.addPeer(node.GetAddress(), node.GetId(), node.GetDataCentre()); known != nil {
+			known.cores = node.GetCores()
+			if node.GetRelays() {
+				known.namedRelayAt = now
 			}
 		}
 	}
-	p.heard, p.spoke = now, true
+	p.lastHeard, p.hasSent = now, true
 	g.dirty = true
 	g.applyRelayed(p, m, now)
 	if p.controls && p.dataCentre == g.config.DataCentre {
 		g.controller.ObserveController(p.epoch)
 		if !m.GetHoldsOver() {
-			g.heardController = now
+			g.controllerHeard = now
 		}
 	}
 	p.configuration = m.GetConfigurationVersion()
@@ -78,39 +78,39 @@
 	for _, id := range m.GetSuspects() {
 		p.suspects = append(p.suspects, serving.EndpointID(id))
 	}
-	p.cutOff = p.cutOff[:0]
+	p.unreachableDataCentres = p.unreachableDataCentres[:0]
 	for _, dc := range m.GetCutOff() {
-		p.cutOff = append(p.cutOff, serving.DataCentre(dc))
+		p.unreachableDataCentres = append(p.unreachableDataCentres, serving.DataCentre(dc))
 	}
-	p.peerReports = toPeerReports(m)
+	p.peerReports = peerReportsFrom(m)
 	if m.GetLeaving() {
 		delete(g.peers, address)
 	}
 	return p
 }
 
-// applyRelayed notes what a message says of the sender as a controller and a relay;
-// the caller holds the lock.
+// applyRelayed applies what the sender reports as a controller and as a relay; the caller holds
+// the lock.
 func (g *Gossiper) applyRelayed(p *peer, m *peers.ShareMessage, now time.Time) {
 	p.controls = m.GetControls()
 	p.relays = m.GetRelays()
 	if !p.relays {
-		p.toldRelay = time.Time{}
+		p.namedRelayAt = time.Time{}
 	}
 	p.epoch = m.GetEpoch()
-	p.homeNodes = int(m.GetHomeNodes())
+	p.localNodes = int(m.GetHomeNodes())
 	p.storeSeen = clock.FromAgeMillis(m.GetStoreAgeMs(), now)
 	g.nodes = max(g.nodes, int(m.GetNodes()))
 	if p.dataCentre == g.config.DataCentre && m.GetRank() > 0 {
 		g.rank, g.ranked = int(m.GetRank()), true
-		g.toldNodes = true
+		g.nodesReported = true
 	}
 }
 
-// message is this node's side of a swap with a peer, with what it lacks.
-func (g *Gossiper) message(p *peer) *peers.ShareMessage {
+// buildMessage returns this node's side of an exchange, with the changes that the peer lacks.
+func (g *Gossiper) buildMessage(p *peer) *peers.ShareMessage {
 	now := time.Now()
-	m := &peers.ShareMessage{From: g.self().named()}
+	m := &peers.ShareMessage{From: g.self().toNode()}
 	m.Loads = toLoads(g.balancer.LocalLoads(now), now)
 	m.Demand = toDemand(g.demand.Rates(now))
 	for _, id := range g.balancer.Suspects(now) {
@@ -126,7 +126,7 @@
 	m.HoldsOver = g.controller.HoldsPastExpiry()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.Leaving = g.leaving
+	m.Leaving = g.stopping
 	if p == nil {
 		return m
 	}
@@ -134,64 +134,62 @@
 	g.addObservations(m, p, now)
 	m.Quarantine = g.quarantine.list.Delta(&p.quarantine, now)
 	m.Advisories = g.throttle.Delta(&p.advisories, now)
-	if p.spoke && p.configuration < version && now.Sub(p.heard) < sayAllAfter {
-		m.Configuration = g.compressed.of(version, value)
+	if p.hasSent && p.configuration < version && now.Sub(p.lastHeard) < peerStateTTL {
+		m.Configuration = g.compressed.compress(version, value)
 	}
 	late := g.mayNeedRows(p) && p.lacksRows(now)
 	rows, covered := g.directory.Changes(p.rows)
 	m.EndpointsVersion, m.RowsSince = covered, p.rows
-	if now.Sub(p.heard) < sayAllAfter && (late || p.rows > 0) {
+	if now.Sub(p.lastHeard) < peerStateTTL && (late || p.rows > 0) {
 		m.Rows = toRows(rows)
 	} else {
-		// What the peer knows is not known: it may have started anew.
+		// The peer's state is unknown: it may have restarted.
 		m.RowsSince = covered
 	}
-	p.messages++
-	if p.messages%acquaintEvery == 1 {
+	p.sentMessages++
+	if p.sentMessages%knownNodesEvery == 1 {
 		g.addKnownNodes(m, p, now)
 	}
 	return m
 }
 
-// named is a peer as messages name it.
-func (p *peer) named() *sharepb.Node {
+// toNode returns a peer as it is encoded in messages.
+func (p *peer) toNode() *sharepb.Node {
 	return &sharepb.Node{Id: p.id, DataCentre: string(p.dataCentre), Address: p.address, Cores: p.cores}
 }
 
-// addKnownNodes names the relays of all data centres, and the next of the peer's own; the
-// caller holds the lock.
+// addKnownNodes adds the relays of all data centres, and the next in rank of the peer's own, to
+// a message; the caller holds the lock.
 func (g *Gossiper) addKnownNodes(m *peers.ShareMessage, to *peer, now time.Time) {
 	m.Known = m.Known[:0]
 	seen := map[string]bool{to.address: true, g.config.Address: true}
-	name := func(nodes []*peer, relay bool) {
+	add := func(nodes []*peer, relay bool) {
 		for _, p := range nodes {
 			if !seen[p.address] {
 				seen[p.address] = true
-				node := p.named()
+				node := p.toNode()
 				node.Relays = relay
 				m.Known = append(m.Known, node)
 			}
 		}
 	}
 	for _, dc := range g.dataCentres() {
-		name(g.relaysOf(dc, m.Controls, now), true)
+		add(g.relaysOf(dc, m.Controls, now), true)
 	}
-	ordered := g.ordered(to.dataCentre)
-	name(ordered[:min(len(ordered), namedNodes)], false)
+	byRank := g.byRank(to.dataCentre)
+	add(byRank[:min(len(byRank), maxKnownNodes)], false)
 }
 
-// nameRelays tells a peer that called this node, which does not relay, who does: it
-// takes this node for a relay. After the lease had passed to the third in rank, the nodes
-// of its data centre called the first two for eleven seconds, and heard no loads.
+// nameRelays adds the known relays to a message for a peer that mistakes this node for one. After
+// a change of the leaseholder, nodes would otherwise keep calling the previous relays.
 func (g *Gossiper) nameRelays(m *peers.ShareMessage, to *peer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.addKnownNodes(m, to, time.Now())
 }
 
-// addObservations adds what the peer has not seen of this node's observations; the
-// caller holds the lock. All of them in each message would be most of its bytes while groups are
-// formed.
+// addObservations adds the observations that the peer lacks; the caller holds the lock. While
+// groups are formed, a full list would be most of the message.
 func (g *Gossiper) addObservations(m *peers.ShareMessage, p *peer, now time.Time) {
 	observations, version := g.directory.Observations(p.observationsSeen, now)
 	for _, o := range observations {
@@ -201,53 +199,53 @@
 	m.ObservationsSeen = p.observations
 }
 
-// mayNeedRows reports whether a peer without any endpoints is to get them from this node:
-// one of its data centre, or a relay of another. Nodes that start call seeds of other
-// data centres, each of which would send them the whole table.
+// mayNeedRows reports whether a peer without endpoints gets them from this node: one of the same
+// data centre, or a relay of another. A starting node calls seeds of other data centres, each of
+// which would otherwise send it the full table.
 func (g *Gossiper) mayNeedRows(p *peer) bool {
 	return p.relays || p.dataCentre == g.config.DataCentre
 }
 
-// lacksRows reports whether a peer has lacked all endpoints for so long that it is to
-// be sent them; the caller holds the lock of the Gossiper.
+// lacksRows reports whether a peer has lacked all endpoints for snapshotDelay; the caller holds
+// the lock of the Gossiper.
 func (p *peer) lacksRows(now time.Time) bool {
 	if p.rows > 0 {
-		p.behindSince = time.Time{}
+		p.rowsMissingSince = time.Time{}
 		return false
 	}
-	if p.behindSince.IsZero() {
-		p.behindSince = now
+	if p.rowsMissingSince.IsZero() {
+		p.rowsMissingSince = now
 	}
-	return now.Sub(p.behindSince) >= largeAfter
+	return now.Sub(p.rowsMissingSince) >= snapshotDelay
 }
 
-// addRelayed adds what a relay tells a peer of others; the caller holds the lock.
+// addRelayed adds the totals and reports that a relay sends to a peer; the caller holds the lock.
 func (g *Gossiper) addRelayed(m *peers.ShareMessage, p *peer, now time.Time) {
-	if !g.relaysHere(m.Controls, now) {
+	if !g.isRelay(m.Controls, now) {
 		return
 	}
 	m.Relays = true
-	m.HomeNodes = uint32(g.homeNodes())
+	m.HomeNodes = uint32(g.localNodes())
 	m.Nodes = uint32(g.nodes)
 	m.StoreAgeMs = clock.AgeMillis(g.storeSeen, now)
-	relayed := g.homeWork(now)
+	relayed := g.localWork(now)
 	if p.dataCentre == g.config.DataCentre {
 		m.Rank = uint32(g.ranks[p.address])
-		relayed = g.othersWork(true, p, now)
+		relayed = g.peerWork(true, p, now)
 		addPeerReports(m, g.aggregated)
 	}
 	m.Relayed, m.RelayedDemand = toLoads(relayed.loads, now), toDemand(relayed.demand)
 }
 
-// eventTold is how long ago an endpoint's last event may be to be told.
-const eventTold = 10 * time.Second
+// maxEventAge bounds the age of an endpoint's last event that is sent to peers.
+const maxEventAge = 10 * time.Second
 
-// toLoads tells times as ages.
+// toLoads encodes loads, with times as ages.
 func toLoads(loads map[serving.EndpointID]relay.PeerLoad, now time.Time) []*sharepb.EndpointLoad {
 	out := make([]*sharepb.EndpointLoad, 0, len(loads))
 	for _, id := range slices.Sorted(maps.Keys(loads)) {
 		l := loads[id]
-		told := &sharepb.EndpointLoad{
+		load := &sharepb.EndpointLoad{
 			Endpoint: string(id),
 			Running:  uint32(l.Running),
 			Unread:   uint32(max(0, l.Unread)),
@@ -257,11 +255,11 @@
 			Took:     float32(l.Pace.Took),
 			Reckoned: float32(l.Pace.Expected),
 		}
-		if now.Sub(l.LastEvent) < eventTold {
+		if now.Sub(l.LastEvent) < maxEventAge {
 			ms := clock.AgeMillis(l.LastEvent, now)
-			told.EventAgeMs = &ms
+			load.EventAgeMs = &ms
 		}
-		out = append(out, told)
+		out = append(out, load)
 	}
 	return out
 }
@@ -287,14 +285,14 @@
 
 func toDemand(demand map[directory.Pool]relay.ModelDemand) []*sharepb.Demand {
 	out := make([]*sharepb.Demand, 0, len(demand))
-	for pool, asked := range demand {
+	for pool, d := range demand {
 		out = append(out, &sharepb.Demand{
 			Service:  pool.Service,
 			Model:    pool.Model,
-			Groups:   asked.Groups,
-			Requests: float32(asked.Requests),
-			InTime:   float32(asked.InTime),
-			Late:     float32(asked.Late),
+			Groups:   d.Groups,
+			Requests: float32(d.Requests),
+			InTime:   float32(d.InTime),
+			Late:     float32(d.Late),
 		})
 	}
 	return out
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -1,9 +1,9 @@
-// Package gossip keeps entry instances informed of each other, and of what each learns: loads,
-// demand, rows, observations, the configuration, advisories of endpoints and the quarantine.
+// Package gossip exchanges state between entry instances: loads, demand, rows, observations, the
+// configuration, advisories of endpoints and the quarantine.
 //
-// One node of each data centre relays: the others swap messages with it, and relays swap sums
-// with each other (relays.go). It also allocates permits at the endpoints of its data centre, and
-// keeps the quarantine in the platform's table.
+// One node of each data centre is its relay: the others exchange messages with it, and relays
+// exchange totals with each other (relays.go). The relay also allocates permits for the endpoints
+// of its data centre, and stores the quarantine in the platform's table.
 package gossip
 
 import (
@@ -28,55 +28,48 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Times of the exchanges between nodes. Each node talks to the relay of its data
-// centre alone, and relays talk to each other, so that the messages grow with the
-// nodes and not with their square (relays.go).
+// Timing of exchanges. Nodes only call the relay of their data centre, and relays call each other,
+// so that the number of messages grows linearly with the nodes.
 const (
 	tick = 50 * time.Millisecond
-	// relayInterval is the time between two calls of a relay, for up to FullRateNodes
-	// that call it; it grows with them to maxRelayInterval.
+	// relayInterval is the time between two calls of a node to its relay, for up to
+	// FullRateNodes nodes; with more it grows up to maxRelayInterval.
 	relayInterval = 100 * time.Millisecond
-	// It is half of loadTTL.
+	// maxRelayInterval is half of loadTTL, so that the last figures of a peer still count.
 	maxRelayInterval = time.Second
-	// relayBytes is what a relay is to send to the nodes of its data centre in a second: with
-	// many endpoints a message is large, and the number of nodes alone says too little.
-	relayBytes = 2 << 20
-	// DefaultFullRateNodes is how many nodes a relay hears ten times a second with a small part
-	// of a core (BenchmarkRelayMessage).
+	// maxRelayBytesPerSecond bounds what a relay sends to the nodes of its data centre, since
+	// messages are large with many endpoints.
+	maxRelayBytesPerSecond = 2 << 20
+	// DefaultFullRateNodes is the number of nodes that call a relay at relayInterval.
 	DefaultFullRateNodes = 25
-	// introInterval is for a node of which only the address is known.
-	introInterval = 300 * time.Millisecond
-	// silentAfter is for nodes that should have called and have not.
-	silentAfter = 2 * time.Second
-	// never is for nodes whose news comes through a relay.
+	// unknownPeerInterval applies to a peer of which only the address is known.
+	unknownPeerInterval = 300 * time.Millisecond
+	// silenceTimeout is how long a relay waits for a node's call before it calls the node.
+	silenceTimeout = 2 * time.Second
+	// never applies to nodes whose state arrives through a relay.
 	never         = math.MaxInt64
 	failedBackoff = 2 * time.Second
 	callTimeout   = 800 * time.Millisecond
-	// callsPerTick bounds the calls that begin at once, beside those of
-	// relays. Without it sixty nodes that had lost their controller, or were
-	// ten seconds old, called each other at the same moment, and none of them
-	// answered anybody for a second.
+	// callsPerTick bounds the calls to nodes other than relays that start at once. Without it,
+	// all nodes call each other at the same moment when they lose their controller.
 	callsPerTick = 2
-	// acquaintEvery is the number of messages to a peer of which one names the
-	// nodes that it may need.
-	acquaintEvery = 20
-	// largeAfter is how long a peer may lack all endpoints before it is sent
-	// them: it most likely reads them from the store meanwhile.
-	largeAfter = 400 * time.Millisecond
-	// sayAllAfter is the silence of a peer after which what it knows is not
-	// taken for known.
-	sayAllAfter = 5 * time.Second
-	// loadTTL is how long a peer's figures count.
+	// knownNodesEvery is the number of messages to a peer of which one has known nodes.
+	knownNodesEvery = 20
+	// snapshotDelay is how long a peer may lack all endpoints before it is sent a snapshot; it
+	// most likely reads them from the store meanwhile.
+	snapshotDelay = 400 * time.Millisecond
+	// peerStateTTL is how long after its last message a peer's reported versions are trusted.
+	peerStateTTL = 5 * time.Second
+	// loadTTL is how long a peer's loads and demand count.
 	loadTTL = 2 * time.Second
-	// controllerTTL is how long the word of a controller spares the others
-	// a look at the lease.
+	// controllerTTL is how long after a controller's message the other nodes need not read
+	// the lease.
 	controllerTTL = 1300 * time.Millisecond
-	// sumPause is the time between two sums of what peers told while nothing comes
-	// from them: what they told expires.
-	sumPause = 250 * time.Millisecond
-	// forgetPeer is after how much silence a peer that does not answer is
-	// forgotten.
-	forgetPeer = 30 * time.Second
+	// maxAggregateAge is the time after which totals are computed again without new messages,
+	// since peers' figures expire.
+	maxAggregateAge = 250 * time.Millisecond
+	// forgetPeerAfter is how long an unreachable peer is remembered.
+	forgetPeerAfter = 30 * time.Second
 )
 
 // peer is another node.
@@ -84,52 +77,49 @@
 	id         string
 	dataCentre serving.DataCentre
 	address    string
-	heard      time.Time
-	// called is when it was last called, failed when it last did not answer.
-	called time.Time
-	failed time.Time
-	busy   bool
-	lost   bool
-	// messages counts those to it; spoke is set once one came from it.
-	messages int
-	spoke    bool
-	// cores is the part of a processor that it may use.
+	lastHeard  time.Time
+	// lastFailed is when it last did not respond to a call.
+	lastCalled  time.Time
+	lastFailed  time.Time
+	calling     bool
+	unreachable bool
+	// sentMessages counts the messages to it; hasSent is set once it has sent one.
+	sentMessages int
+	hasSent      bool
+	// cores is the number of processor cores that it may use.
 	cores float32
-	// controls is set for the controller of its data centre, relays for a node
-	// that tells the others of each other.
+	// controls is set for the controller of its data centre, relays for a relay.
 	controls bool
 	relays   bool
-	// toldRelay is when another node last named it as a relay.
-	toldRelay time.Time
-	// epoch is that under which it acts.
+	// namedRelayAt is when another node last named it as a relay.
+	namedRelayAt time.Time
+	// epoch is the lease epoch under which it acts.
 	epoch uint64
-	// homeNodes is how many nodes of its data centre it relays for, storeSeen
-	// when the store last answered it, as it told.
-	homeNodes int
-	storeSeen time.Time
-	// its last message, and the versions that it had then.
-	own           work
-	relayed       work
-	suspects      []serving.EndpointID
-	cutOff        []serving.DataCentre
-	peerReports   relay.PeerReports
-	configuration uint64
-	// answerBytes is the size of its last answer to a call of this node.
+	// localNodes is the number of nodes of its data centre, storeSeen when the store last
+	// responded to it, both as it reported them.
+	localNodes int
+	storeSeen  time.Time
+	// own and what follows is from its last message; configuration and rows are versions.
+	own                    work
+	relayed                work
+	suspects               []serving.EndpointID
+	unreachableDataCentres []serving.DataCentre
+	peerReports            relay.PeerReports
+	configuration          uint64
+	// answerBytes is the size of its last response to a call of this node.
 	answerBytes int
 	rows        uint64
-	// observations is the version of its observations that this node has, and
-	// observationsSeen that of this node's that it has.
+	// observations is the version of its observations that this node has received,
+	// observationsSeen the version of this node's observations that it has acknowledged.
 	observations     uint64
 	observationsSeen uint64
-	// quarantine and advisories track what was exchanged of them.
-	quarantine delta.Cursor
-	advisories delta.Cursor
-	// behindSince is when it was first found to lack all endpoints, zero while
-	// it does not.
-	behindSince time.Time
+	quarantine       delta.Cursor
+	advisories       delta.Cursor
+	// rowsMissingSince is when it was first found to lack all endpoints, zero if it does not.
+	rowsMissingSince time.Time
 }
 
-// Gossiper keeps the nodes informed of each other.
+// Gossiper exchanges state with the peers of one node.
 type Gossiper struct {
 	config     Config
 	directory  *directory.Directory
@@ -142,48 +132,46 @@
 	client     *peers.Client
 	log        logging.Logger
 
-	// urgent has an entry when the relay should hear from this node now.
+	// urgent has an entry when the relay is to be called at once.
 	urgent chan struct{}
 
-	mu      sync.Mutex
-	peers   map[string]*peer // by address
-	leaving bool
-	// heardController is when the controller of this data centre last spoke.
-	heardController time.Time
-	// storeSeen is when the store last answered this node.
+	mu       sync.Mutex
+	peers    map[string]*peer // by address
+	stopping bool
+	// controllerHeard is when the controller of this data centre last sent a message.
+	controllerHeard time.Time
+	// storeSeen is when the store last responded to this node.
 	storeSeen time.Time
-	// rowsHeard is when a peer last brought news of the endpoint table.
-	rowsHeard time.Time
-	// rank is this node's place among those of its data centre, as the relay
-	// told it, and ranked is set once it did.
-	rank   int
-	ranked bool
-	// began is when this node started.
-	began time.Time
-	// nodes is how many nodes there are in all, as far as relays told, and toldNodes is
-	// set once one of this data centre did. nodesOf is the most that the relays of the
-	// other data centres told of theirs.
-	nodes     int
-	toldNodes bool
-	nodesOf   map[serving.DataCentre]int
-	// aggregated is what several nodes of this data centre find, as a relay heard it.
+	// rowsReceived is when a peer last sent newer rows of the endpoint table.
+	rowsReceived time.Time
+	// rank is this node's rank in its data centre, as assigned by the relay; ranked is set
+	// once it is known.
+	rank      int
+	ranked    bool
+	startedAt time.Time
+	// nodes is the number of nodes of all data centres; nodesReported is set once a relay of
+	// this data centre has reported it. dataCentreNodes is the maximum number of nodes that
+	// the relay of each other data centre has reported for it.
+	nodes           int
+	nodesReported   bool
+	dataCentreNodes map[serving.DataCentre]int
+	// aggregated has the reports on which several nodes of this data centre agree.
 	aggregated relay.PeerReports
-	// ranks is the place of each other node of this data centre, by address.
+	// ranks has the rank of each other node of this data centre by address, at a relay.
 	ranks      map[string]int
 	controller Controller
-	// dirty is set when a message came since the sums were last made, and summed is
-	// when that was.
-	dirty  bool
-	summed time.Time
-	// compressed is the configuration as it is sent.
-	compressed compressedConfiguration
-	// asked is set once a peer told of requests that callers send.
-	asked atomic.Bool
+	// dirty is set when a message arrived since lastAggregated, when the totals were last
+	// computed.
+	dirty          bool
+	lastAggregated time.Time
+	compressed     compressedConfiguration
+	// demandReported is set once a peer has reported demand.
+	demandReported atomic.Bool
 }
 
-// Controller is what a Gossiper asks of the part that controls the data centre, and tells it.
+// Controller is the group controller of this node, as a Gossiper uses it.
 type Controller interface {
-	// Epoch is that under which this node acts, or zero.
+	// Epoch returns the lease epoch under which this node acts, or zero.
 	Epoch() uint64
 	// HoldsPastExpiry reports whether the node acts under an expired lease.
 	HoldsPastExpiry() bool
@@ -194,39 +182,39 @@
 // controls reports whether this node controls its data centre.
 func (g *Gossiper) controls() bool { return g.controller.Epoch() != 0 }
 
-// ControllerAlive reports whether the data centre's controller, another node,
-// spoke lately.
+// ControllerAlive reports whether a message from the data centre's controller, another node,
+// arrived within controllerTTL.
 func (g *Gossiper) ControllerAlive() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Since(g.heardController) < controllerTTL
+	return time.Since(g.controllerHeard) < controllerTTL
 }
 
-// Config is what a Gossiper is set up with.
+// Config configures a Gossiper.
 type Config struct {
-	// Incarnation names this process, other than those before it on the same node.
+	// Incarnation identifies this process; a restart of the node has another one.
 	Incarnation string
-	// Address is this node's for its peers, Key what all of them share, Seeds the addresses of
-	// some others.
+	// Address is where this node listens for peers, Key the secret that all share, Seeds the
+	// addresses of some other nodes.
 	Address string
 	Key     string
 	Seeds   []string
-	// DataCentre is this node's, DataCentreNames are all.
+	// DataCentre is this node's, DataCentreNames has all of them.
 	DataCentre      serving.DataCentre
 	DataCentreNames []serving.DataCentre
-	// Cores is the part of a processor that this node may use.
+	// Cores is the number of processor cores that this node may use.
 	Cores float64
-	// Nodes is how many nodes there are at least, in all data centres.
+	// Nodes is the minimum number of nodes in all data centres.
 	Nodes int
-	// FirstStart is set if no node ran before.
+	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool
-	// RetryWindow is that of the retry budget.
+	// RetryWindow is the window of the retry budget.
 	RetryWindow time.Duration
-	// FullRateNodes is up to how many nodes call a relay as often as they can.
+	// FullRateNodes is the number of nodes up to which they call a relay at the full rate.
 	FullRateNodes int
 }
 
-// Parts are those of an entry instance that a Gossiper reads, and tells what peers sent.
+// Parts are the components of an entry instance that a Gossiper reads and updates.
 type Parts struct {
 	Directory *directory.Directory
 	Balancer  *relay.Balancer
@@ -237,24 +225,24 @@
 	Metrics   *metrics.Metrics
 }
 
-// New returns a Gossiper that has not begun. SetController must be called before Run.
+// New returns a Gossiper. SetController must be called before Run.
 func New(c Config, p Parts) *Gossiper {
 	g := &Gossiper{
-		config:    c,
-		directory: p.Directory,
-		balancer:  p.Balancer,
-		demand:    p.Demand,
-		budget:    p.Budget,
-		store:     p.Store,
-		client:    peers.NewClient([]byte(c.Key), p.Links),
-		log:       logging.For("peers"),
-		peers:     map[string]*peer{},
-		urgent:    make(chan struct{}, 1),
-		nodesOf:   map[serving.DataCentre]int{},
-		began:     time.Now(),
+		config:          c,
+		directory:       p.Directory,
+		balancer:        p.Balancer,
+		demand:          p.Demand,
+		budget:          p.Budget,
+		store:           p.Store,
+		client:          peers.NewClient([]byte(c.Key), p.Links),
+		log:             logging.For("peers"),
+		peers:           map[string]*peer{},
+		urgent:          make(chan struct{}, 1),
+		dataCentreNodes: map[serving.DataCentre]int{},
+		startedAt:       time.Now(),
 	}
-	g.quarantine = newQuarantineTable(quarantine.NewQuarantine(g.triesQuarantined), p.Store)
-	g.throttle = throttle.NewTracker(throttle.Options{Ask: g.askPermit, Nodes: g.allNodes, OnDraining: p.Directory.Invalidate, Metrics: p.Metrics})
+	g.quarantine = newQuarantineTable(quarantine.NewQuarantine(g.sendsTrials), p.Store)
+	g.throttle = throttle.NewTracker(throttle.Options{Ask: g.requestPermit, Nodes: g.nodeCount, OnDraining: p.Directory.Invalidate, Metrics: p.Metrics})
 	p.Directory.SetDraining(g.throttle.Draining)
 	p.Balancer.OnSuspect(g.callRelayNow)
 	p.Balancer.SetHold(g.throttle.Hold)
@@ -262,35 +250,36 @@
 	return g
 }
 
-// SetController sets the part that controls the data centre.
+// SetController sets the group controller of this node.
 func (g *Gossiper) SetController(c Controller) { g.controller = c }
 
-// Throttle returns what is known of endpoints' advisories.
+// Throttle returns the tracker of endpoints' advisories.
 func (g *Gossiper) Throttle() *throttle.Tracker { return g.throttle }
 
-// Quarantine returns what is known of requests that crash endpoints.
+// Quarantine returns the records of requests that crash endpoints.
 func (g *Gossiper) Quarantine() *quarantine.Quarantine { return g.quarantine.list }
 
 // PeersHaveRequests reports whether any peer has reported demand.
-func (g *Gossiper) PeersHaveRequests() bool { return g.asked.Load() }
+func (g *Gossiper) PeersHaveRequests() bool { return g.demandReported.Load() }
 
-// AddSeeds makes the addresses of the settings known.
+// AddSeeds adds peers by address.
 func (g *Gossiper) AddSeeds(seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, seed := range seeds {
-		g.meet(seed, "", "")
+		g.addPeer(seed, "", "")
 	}
 }
 
-// meet makes a node known; the caller holds the lock.
-func (g *Gossiper) meet(address, id, dataCentre string) *peer {
+// addPeer returns the peer at an address, adding or updating it; nil for this node itself. The
+// caller holds the lock.
+func (g *Gossiper) addPeer(address, id, dataCentre string) *peer {
 	if address == "" || address == g.config.Address {
 		return nil
 	}
 	p := g.peers[address]
 	if p == nil {
-		p = &peer{address: address, heard: time.Now()}
+		p = &peer{address: address, lastHeard: time.Now()}
 		g.peers[address] = p
 	}
 	if id != "" {
@@ -299,11 +288,12 @@
 	return p
 }
 
+// Run exchanges messages with peers until the context is cancelled.
 func (g *Gossiper) Run(ctx context.Context) {
 	defer g.client.Close()
 	var running sync.WaitGroup
-	running.Go(func() { g.followRelays(ctx) })
-	running.Go(func() { g.keepQuarantine(ctx) })
+	running.Go(func() { g.findControllers(ctx) })
+	running.Go(func() { g.runQuarantine(ctx) })
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -312,22 +302,22 @@
 			running.Wait()
 			return
 		case now := <-ticker.C:
-			for _, p := range g.due(now) {
+			for _, p := range g.duePeers(now) {
 				running.Go(func() { g.call(ctx, p) })
 			}
-			if g.needsSum(now) {
-				g.sum(now)
+			if g.needsAggregation(now) {
+				g.updateAggregates(now)
 			}
 		case <-g.urgent:
-			if p := g.ownRelay(time.Now()); p != nil {
+			if p := g.claimRelayCall(time.Now()); p != nil {
 				running.Go(func() { g.call(ctx, p) })
 			}
 		}
 	}
 }
 
-// callRelayNow has the relay of this data centre hear from this node at once:
-// what it is told of silent endpoints takes groups out of service.
+// callRelayNow requests an immediate call to the relay of this data centre, since suspected
+// endpoints take groups out of service.
 func (g *Gossiper) callRelayNow() {
 	select {
 	case g.urgent <- struct{}{}:
@@ -335,31 +325,31 @@
 	}
 }
 
-// call swaps messages with one peer.
+// call exchanges messages with one peer.
 func (g *Gossiper) call(ctx context.Context, p *peer) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer, err := g.client.Share(ctx, p.address, g.message(p))
+	answer, err := g.client.Share(ctx, p.address, g.buildMessage(p))
 	if err == nil {
-		g.take(answer, p.address)
+		g.applyMessage(answer, p.address)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p.busy = false
+	p.calling = false
 	p.answerBytes = proto.Size(answer)
 	if err != nil {
-		p.failed = time.Now()
+		p.lastFailed = time.Now()
 	}
-	if lost := err != nil; lost != p.lost && ctx.Err() != context.Canceled {
-		p.lost = lost
-		g.log.Info("a peer's state has changed", "peer", p.id, "address", p.address, "lost", lost, "silent", time.Since(p.heard), "error", err)
+	if unreachable := err != nil; unreachable != p.unreachable && ctx.Err() != context.Canceled {
+		p.unreachable = unreachable
+		g.log.Info("a peer's reachability changed", "peer", p.id, "address", p.address, "lost", unreachable, "silent", time.Since(p.lastHeard), "error", err)
 	}
 }
 
 // Share implements peers.ShareHandler.
 func (g *Gossiper) Share(_ context.Context, m *peers.ShareMessage) (*peers.ShareMessage, error) {
-	p := g.take(m, m.GetFrom().GetAddress())
-	answer := g.message(p)
+	p := g.applyMessage(m, m.GetFrom().GetAddress())
+	answer := g.buildMessage(p)
 	if p != nil && !answer.Relays {
 		g.nameRelays(answer, p)
 	}
--- a/internal/gossip/gossiper_bench_test.go
+++ b/internal/gossip/gossiper_bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// relaying returns the relay of a data centre of 59 nodes, one of five, each node with
-// work at four of a hundred heads.
-func relaying(now time.Time) *Gossiper {
+// newTestRelay returns the relay of 59 nodes in one of five data centres. Each node has loads at
+// four of a hundred heads.
+func newTestRelay(now time.Time) *Gossiper {
 	s := &Gossiper{
 		quarantine: newQuarantineTable(quarantine.NewQuarantine(func() bool { return false }), nil),
 		config:     Config{Incarnation: "n/life", DataCentre: "dc0", Address: "10.0.9.9:1"},
@@ -39,31 +39,30 @@
 			dc = serving.DataCentre(fmt.Sprintf("dc%d", i-57))
 		}
 		address := fmt.Sprintf("10.0.0.%d:1", i)
-		p := &peer{id: fmt.Sprintf("n%d/life", i), address: address, dataCentre: dc, heard: now, spoke: true, rows: 1, own: work{loads: heads(4*i, 4)}}
+		p := &peer{id: fmt.Sprintf("n%d/life", i), address: address, dataCentre: dc, lastHeard: now, hasSent: true, rows: 1, own: work{loads: heads(4*i, 4)}}
 		if i >= 58 {
-			p.relays, p.controls, p.homeNodes, p.relayed = true, true, 59, work{loads: heads(0, 100)}
+			p.relays, p.controls, p.localNodes, p.relayed = true, true, 59, work{loads: heads(0, 100)}
 		}
 		s.peers[address] = p
 	}
 	return s
 }
 
-// controls is a node that controls its data centre.
-type controls struct{ standby }
+// controls is a Controller that holds the lease.
+type controls struct{ notController }
 
 func (controls) Epoch() uint64 { return 1 }
 
-// BenchmarkRelayMessage is what a relay of 59 nodes does for each of a hundred calls a
-// second.
+// BenchmarkRelayMessage measures a relay's response to one call.
 func BenchmarkRelayMessage(b *testing.B) {
-	s := relaying(time.Now())
+	s := newTestRelay(time.Now())
 	p := s.peers["10.0.0.7:1"]
 	size := 0
 	for range b.N {
 		for _, other := range s.peers {
-			other.heard = time.Now()
+			other.lastHeard = time.Now()
 		}
-		size = proto.Size(s.message(p))
+		size = proto.Size(s.buildMessage(p))
 	}
 	b.ReportMetric(float64(size), "bytes/message")
 }
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -18,15 +18,15 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// acquainted returns a node that knows sixty others of three data centres.
-func acquainted(now time.Time) *Gossiper {
+// newTestGossiper returns a node that knows sixty others of three data centres.
+func newTestGossiper(now time.Time) *Gossiper {
 	s := &Gossiper{
-		quarantine: newQuarantineTable(quarantine.NewQuarantine(func() bool { return false }), nil),
-		config:     Config{DataCentre: "dc0", Address: "10.0.0.100:1"},
-		peers:      map[string]*peer{},
-		nodesOf:    map[serving.DataCentre]int{},
-		throttle:   throttle.NewTracker(throttle.Options{}),
-		controller: standby{},
+		quarantine:      newQuarantineTable(quarantine.NewQuarantine(func() bool { return false }), nil),
+		config:          Config{DataCentre: "dc0", Address: "10.0.0.100:1"},
+		peers:           map[string]*peer{},
+		dataCentreNodes: map[serving.DataCentre]int{},
+		throttle:        throttle.NewTracker(throttle.Options{}),
+		controller:      notController{},
 	}
 	for i := range 60 {
 		address := fmt.Sprintf("10.0.0.%d:1", i)
@@ -34,56 +34,55 @@
 			id:         fmt.Sprintf("n%d", i),
 			address:    address,
 			dataCentre: serving.DataCentre(fmt.Sprintf("dc%d", i%3)),
-			heard:      now,
+			lastHeard:  now,
 		}
 	}
 	return s
 }
 
-// Nodes that have lost their controller called all others, each with a list of all
-// nodes: 295 of them moved 3.4 GB in seven seconds. Only the first two in rank of each
-// data centre relay now, and the others call just them.
-func TestGossip_CallsOnlyStandbyRelaysWithoutAController(t *testing.T) {
+// Without a controller, nodes used to call all others, which saturated the links. They must only
+// call the standby relays of their data centre.
+func TestDuePeers_OnlyStandbyRelaysWithoutController(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
 	called := map[string]bool{}
 	for range 300 {
-		for _, p := range s.due(now) {
+		for _, p := range s.duePeers(now) {
 			called[p.id] = true
-			p.busy = false
-			p.heard = now
+			p.calling = false
+			p.lastHeard = now
 		}
 		now = now.Add(tick)
 	}
 	require.Equal(t, map[string]bool{"n0": true, "n12": true}, called, "the first two by name of its data centre")
 }
 
-// The next in rank relay once those before them do not answer.
-func TestGossip_ReplacesSilentRelays(t *testing.T) {
+// The next in rank take over from relays that do not respond.
+func TestRelaysOf_SkipsUnreachableRelays(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
 	for _, address := range []string{"10.0.0.0:1", "10.0.0.12:1"} {
-		s.peers[address].failed = now.Add(time.Millisecond)
+		s.peers[address].lastFailed = now.Add(time.Millisecond)
 	}
 	require.Equal(t, "n15", s.relaysOf("dc0", false, now)[0].id)
 	s.config.Incarnation = "n14"
-	require.True(t, s.relaysHere(false, now), "this node is the next")
+	require.True(t, s.isRelay(false, now), "this node is the next in rank")
 }
 
-// A relay calls the relays of the other data centres, and those of its own that it
-// should have heard, a few at a time.
-func TestGossip_RelayCallsRelaysAndSilentNodes(t *testing.T) {
+// A relay calls the relays of the other data centres, and up to callsPerTick silent nodes of its
+// own.
+func TestDuePeers_RelayCallsRelaysAndSilentNodes(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now.Add(-2 * silentAfter))
+	s := newTestGossiper(now.Add(-2 * silenceTimeout))
 	called := map[string]int{}
 	for range 40 {
-		due := s.due(now)
+		duePeers := s.duePeers(now)
 		others := 0
-		for _, p := range due {
+		for _, p := range duePeers {
 			called[p.id]++
-			p.busy = false
+			p.calling = false
 			if p.dataCentre == "dc0" && p.id != "n0" {
 				others++
 			}
@@ -98,177 +97,171 @@
 	require.Len(t, called, 24, "twenty of its own, and two relays of each other data centre")
 }
 
-// A node that takes another for a relay is told who relays, and calls that one. After the
-// lease had passed to the third in rank, the nodes of its data centre called the first two
-// for eleven seconds and heard of nobody's load.
-func TestGossip_NamesRelaysToMisdirectedNodes(t *testing.T) {
+// After a change of the leaseholder, nodes used to keep calling the previous relays and received
+// no loads.
+func TestNameRelays_RedirectsMisdirectedNodes(t *testing.T) {
 	now := time.Now()
-	first := acquainted(now)
+	first := newTestGossiper(now)
 	first.config.Address, first.config.Incarnation = "10.0.0.0:1", "n0"
 	delete(first.peers, "10.0.0.0:1")
 	third := first.peers["10.0.0.15:1"]
 	third.controls, third.relays = true, true
 
-	other := acquainted(now)
+	other := newTestGossiper(now)
 	other.config.Incarnation = "n99"
-	require.Equal(t, "n0", other.relaysOf("dc0", false, now)[0].id, "it knows of no controller")
-	m := &peers.ShareMessage{From: other.peers["10.0.0.0:1"].named()}
+	require.Equal(t, "n0", other.relaysOf("dc0", false, now)[0].id, "it knows no controller")
+	m := &peers.ShareMessage{From: other.peers["10.0.0.0:1"].toNode()}
 	first.nameRelays(m, &peer{id: "n99", address: "10.0.0.100:1", dataCentre: "dc0"})
 	other.directory = directory.New(directory.Codec{})
-	other.take(m, "10.0.0.0:1")
+	other.applyMessage(m, "10.0.0.0:1")
 	require.Equal(t, "n15", other.relaysOf("dc0", false, now)[0].id)
 
-	other.take(&peers.ShareMessage{From: third.named()}, third.address)
-	require.Equal(t, "n0", other.relaysOf("dc0", false, now)[0].id, "it says itself that it does not")
+	other.applyMessage(&peers.ShareMessage{From: third.toNode()}, third.address)
+	require.Equal(t, "n0", other.relaysOf("dc0", false, now)[0].id, "it reports itself that it is no relay")
 }
 
-// The nodes with the most processor come first.
-func TestGossip_FastestNodesRelay(t *testing.T) {
+func TestRelaysOf_PrefersMostCores(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
 	s.peers["10.0.0.57:1"].cores = 0.8
 	require.Equal(t, "n57", s.relaysOf("dc0", false, now)[0].id)
 }
 
-// A node names to another only those that it may need, however many it knows.
-func TestGossip_NamesFewNodes(t *testing.T) {
+// The number of known nodes in a message must not grow with the nodes.
+func TestAddKnownNodes_IsBounded(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	m := &peers.ShareMessage{}
 	s.addKnownNodes(m, s.peers["10.0.0.1:1"], now)
-	require.LessOrEqual(t, len(m.Known), 3*standbyRelays+namedNodes)
+	require.LessOrEqual(t, len(m.Known), 3*standbyRelays+maxKnownNodes)
 	require.NotEmpty(t, m.Known)
 }
 
-func TestGossip_NodeWithAControllerCallsOnlyIt(t *testing.T) {
+func TestDuePeers_OnlyControllerIfAlive(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	controller := s.peers["10.0.0.3:1"]
 	controller.controls = true
 	for range 200 {
-		controller.heard, s.heardController = now, now
-		for _, p := range s.due(now) {
+		controller.lastHeard, s.controllerHeard = now, now
+		for _, p := range s.duePeers(now) {
 			require.Equal(t, controller, p)
-			p.busy = false
+			p.calling = false
 		}
 		now = now.Add(tick)
 	}
 }
 
-// One controller reads the endpoints for all, and all others do once its news stays away:
-// the store may turn just that one away.
-func TestDuty_ControllersReadOnceNoRowsCome(t *testing.T) {
+// One controller reads the endpoint table for all; the others must read it when its rows stop
+// arriving, since the store may be unavailable to it alone.
+func TestReadsEndpoints_TakesOverWithoutRows(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.DataCentre = "dc1"
 	reader := s.peers["10.0.0.3:1"]
 	reader.controls, reader.epoch = true, 1
-	s.rowsHeard = now
+	s.rowsReceived = now
 	require.False(t, s.readsEndpoints(now.Add(400*time.Millisecond)))
 	for _, p := range s.peers {
-		p.heard = now.Add(2 * time.Second)
+		p.lastHeard = now.Add(2 * time.Second)
 	}
-	require.True(t, s.readsEndpoints(now.Add(2*time.Second)), "it is heard, and brings nothing")
-	s.rowsHeard = now.Add(2 * time.Second)
+	require.True(t, s.readsEndpoints(now.Add(2*time.Second)), "it is alive but sends no rows")
+	s.rowsReceived = now.Add(2 * time.Second)
 	require.False(t, s.readsEndpoints(now.Add(2*time.Second)))
 	reader.controls = false
-	require.True(t, s.readsEndpoints(now.Add(2*time.Second)), "there is no other")
+	require.True(t, s.readsEndpoints(now.Add(2*time.Second)), "there is no other controller")
 }
 
-// A relay tells what two nodes find, and not what one does.
-func TestReports_RelayAggregatesSuspicions(t *testing.T) {
+func TestAggregateReports_RequiresTwoReporters(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.peers["10.0.0.0:1"].suspects = []serving.EndpointID{"a", "b"}
 	s.peers["10.0.0.3:1"].suspects = []serving.EndpointID{"b"}
-	s.peers["10.0.0.6:1"].cutOff = []serving.DataCentre{"dc1"}
-	s.peers["10.0.0.1:1"].suspects = []serving.EndpointID{"a", "c"} // Of another data centre.
-	found := s.aggregate([]serving.EndpointID{"c"}, []serving.DataCentre{"dc1", "dc2"}, now)
+	s.peers["10.0.0.6:1"].unreachableDataCentres = []serving.DataCentre{"dc1"}
+	s.peers["10.0.0.1:1"].suspects = []serving.EndpointID{"a", "c"} // In another data centre.
+	reports := s.aggregateReports([]serving.EndpointID{"c"}, []serving.DataCentre{"dc1", "dc2"}, now)
 	m := &peers.ShareMessage{}
-	addPeerReports(m, found)
+	addPeerReports(m, reports)
 	want := relay.PeerReports{Suspects: map[serving.EndpointID]bool{"b": true}, Unreachable: map[serving.DataCentre]bool{"dc1": true}}
-	require.Equal(t, want, toPeerReports(m))
+	require.Equal(t, want, peerReportsFrom(m))
 }
 
-// What a node finds silent is told at once, and not with the next message.
-func TestGossip_SendsANewSuspicionAtOnce(t *testing.T) {
+// A new suspicion is sent at once, not with the next scheduled message.
+func TestCallRelayNow_SendsNewSuspicionOnce(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
 	s.urgent = make(chan struct{}, 1)
 	balancer := relay.NewBalancer("dc0", rand.NewPCG(1, 1), relay.DefaultWeights)
 	balancer.OnSuspect(s.callRelayNow)
 	balancer.Suspect("e", now)
 	require.Len(t, s.urgent, 1)
-	require.Equal(t, "n0", s.ownRelay(now).id, "no controller is known: the first in rank hears it")
+	require.Equal(t, "n0", s.claimRelayCall(now).id, "no controller is known: the first in rank is called")
 	controller := s.peers["10.0.0.3:1"]
 	controller.controls = true
-	controller.called = now
-	require.Equal(t, controller, s.ownRelay(now))
-	require.Nil(t, s.ownRelay(now), "it is being called")
+	controller.lastCalled = now
+	require.Equal(t, controller, s.claimRelayCall(now))
+	require.Nil(t, s.claimRelayCall(now), "it is already being called")
 	<-s.urgent
 	balancer.Suspect("e", now.Add(time.Second))
-	require.Empty(t, s.urgent, "it is told once")
+	require.Empty(t, s.urgent, "sent once")
 }
 
-func TestGossip_ForgetsUnreachablePeersOnly(t *testing.T) {
+func TestForgetUnreachable_KeepsSilentPeers(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
-	now = now.Add(forgetPeer + time.Second)
-	s.peers["10.0.0.1:1"].failed = now.Add(-time.Second)
-	s.due(now)
+	s := newTestGossiper(now)
+	now = now.Add(forgetPeerAfter + time.Second)
+	s.peers["10.0.0.1:1"].lastFailed = now.Add(-time.Second)
+	s.duePeers(now)
 	require.Len(t, s.peers, 59)
 	require.NotContains(t, s.peers, "10.0.0.1:1")
 }
 
-// All endpoints are sent only to a peer that has lacked them for a while: most read
-// them from the store. Rolling restarts of sixty nodes took 1.3 GB between data
-// centres.
-func TestGossip_SendsLargeSnapshotsOnlyToStalePeers(t *testing.T) {
+// A restarted peer usually reads the endpoints from the store. Sending snapshots at once made
+// rolling restarts expensive.
+func TestLacksRows_DelaysSnapshot(t *testing.T) {
 	now := time.Now()
 	p := &peer{configuration: 3, rows: 9}
 	require.False(t, p.lacksRows(now))
 	p.rows = 0
 	now = now.Add(time.Minute)
 	require.False(t, p.lacksRows(now))
-	require.False(t, p.lacksRows(now.Add(largeAfter-time.Millisecond)))
-	require.True(t, p.lacksRows(now.Add(largeAfter)))
+	require.False(t, p.lacksRows(now.Add(snapshotDelay-time.Millisecond)))
+	require.True(t, p.lacksRows(now.Add(snapshotDelay)))
 	p.rows = 9
-	require.False(t, p.lacksRows(now.Add(largeAfter)))
+	require.False(t, p.lacksRows(now.Add(snapshotDelay)))
 }
 
-// standby is a node that controls nothing.
-type standby struct{}
+// notController is a Controller without a lease.
+type notController struct{}
 
-func (standby) Epoch() uint64            { return 0 }
-func (standby) HoldsPastExpiry() bool    { return false }
-func (standby) ObserveController(uint64) {}
+func (notController) Epoch() uint64            { return 0 }
+func (notController) HoldsPastExpiry() bool    { return false }
+func (notController) ObserveController(uint64) {}
 
-// Loads are told with the ages of events, and come back as they were.
-func TestLoads_CarryAges(t *testing.T) {
+// Times must reach a peer unchanged, whatever its clock shows.
+func TestLoads_RoundTripAsAges(t *testing.T) {
 	now := time.Now().Round(time.Millisecond)
 	loads := map[serving.EndpointID]relay.PeerLoad{
 		"busy":   {Running: 3, Unread: 700, LastEvent: now.Add(-40 * time.Millisecond), Epoch: 9, Tally: health.Tally{Served: 4, Failed: 0.5}, Pace: health.Pace{Took: 2, Expected: 0.5}},
 		"silent": {Running: 1},
 	}
-	// The receiver's clock may show any other time.
+	// The receiver's clock differs.
 	there := now.Add(3 * time.Hour)
-	told := fromLoads(toLoads(loads, now), there)
-	require.Equal(t, there.Add(-40*time.Millisecond), told["busy"].LastEvent)
-	require.True(t, told["silent"].LastEvent.IsZero())
-	busy := told["busy"]
+	received := fromLoads(toLoads(loads, now), there)
+	require.Equal(t, there.Add(-40*time.Millisecond), received["busy"].LastEvent)
+	require.True(t, received["silent"].LastEvent.IsZero())
+	busy := received["busy"]
 	busy.LastEvent = loads["busy"].LastEvent
 	require.Equal(t, loads["busy"], busy)
 }
 
-// The nodes of a data centre of 26 tell their relay ten times a second what they have
-// under way. At 0.6 s, as long as a request runs, full groups were sent requests that
-// others had places for: of five days with trouble 15 in 100 requests were late, and 8
-// at 0.1 s.
-func TestLoads_AreSentWhileTheyCount(t *testing.T) {
+// Loads that are sent less often than requests complete route requests to full groups, so small
+// data centres use the minimum interval.
+func TestCallInterval_GrowsWithNodes(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.FullRateNodes = DefaultFullRateNodes
 	for _, c := range []struct {
 		nodes int
@@ -277,95 +270,91 @@
 		for address := range s.peers {
 			delete(s.peers, address)
 		}
-		s.peers["10.0.0.1:1"] = &peer{id: "n1", dataCentre: "dc0", heard: now, relays: true, homeNodes: c.nodes}
-		require.Equal(t, c.want, s.pace(false), "%d nodes", c.nodes)
+		s.peers["10.0.0.1:1"] = &peer{id: "n1", dataCentre: "dc0", lastHeard: now, relays: true, localNodes: c.nodes}
+		require.Equal(t, c.want, s.callInterval(false), "%d nodes", c.nodes)
 	}
 }
 
-// Where loads are large, a relay of many nodes is called more seldom: 100 nodes that each
-// fetched 40 KB two and a half times a second took all its processor.
-func TestLoads_LargeOnesAreSentLessOften(t *testing.T) {
+// Large responses to many nodes would overload a relay, so it is called less often.
+func TestCallInterval_GrowsWithAnswerBytes(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.FullRateNodes = DefaultFullRateNodes
 	for address := range s.peers {
 		delete(s.peers, address)
 	}
-	controller := &peer{id: "n1", dataCentre: "dc0", heard: now, relays: true, homeNodes: 100, answerBytes: 4 << 10}
+	controller := &peer{id: "n1", dataCentre: "dc0", lastHeard: now, relays: true, localNodes: 100, answerBytes: 4 << 10}
 	s.peers["10.0.0.1:1"] = controller
-	require.Equal(t, 396*time.Millisecond, s.pace(false))
+	require.Equal(t, 396*time.Millisecond, s.callInterval(false))
 	controller.answerBytes = 16 << 10
-	require.Equal(t, 781250*time.Microsecond, s.pace(false))
+	require.Equal(t, 781250*time.Microsecond, s.callInterval(false))
 	controller.answerBytes = 40 << 10
-	require.Equal(t, maxRelayInterval, s.pace(false))
-	require.Less(t, 2*maxRelayInterval, loadTTL+time.Millisecond, "what was told last still counts")
-	away := &peer{id: "n2", dataCentre: "dc1", heard: now, relays: true}
-	require.Equal(t, maxRelayInterval, s.interval(away, true, true, maxRelayInterval, now))
+	require.Equal(t, maxRelayInterval, s.callInterval(false))
+	require.Less(t, 2*maxRelayInterval, loadTTL+time.Millisecond, "the last loads still count")
+	remote := &peer{id: "n2", dataCentre: "dc1", lastHeard: now, relays: true}
+	require.Equal(t, maxRelayInterval, s.interval(remote, true, true, maxRelayInterval, now))
 }
 
-// Nodes that were cut off from the other data centres from their first moment split the
-// slack of the retry budget between those that they heard, and so did the others.
-func TestCountNodes_IncludesUnheardDataCentres(t *testing.T) {
+// Nodes that are partitioned from the start must not split the retry budget's slack among only
+// the nodes that they hear.
+func TestCountNodes_EstimatesUnheardDataCentres(t *testing.T) {
 	const window = 10 * time.Second
 	now := time.Now()
-	s := acquainted(now)
-	s.began = now
+	s := newTestGossiper(now)
+	s.startedAt = now
 	s.config.RetryWindow = window
 	s.config.DataCentreNames = []serving.DataCentre{"dc0", "dc1", "dc2"}
-	home := 21 // Twenty and itself.
-	require.Equal(t, home, s.countNodes(now), "a node that has just started does not guess")
-	require.Equal(t, 3*home, s.countNodes(now.Add(window)))
+	local := 21 // Twenty peers and itself.
+	require.Equal(t, local, s.countNodes(now), "a node that has just started does not estimate")
+	require.Equal(t, 3*local, s.countNodes(now.Add(window)))
 
-	word := s.peers["10.0.0.1:1"]
-	word.relays, word.homeNodes, word.heard = true, 5, now.Add(window)
-	require.Equal(t, home+5+home, s.countNodes(now.Add(window)), "what a relay tells goes before the guess")
-	require.Equal(t, home+5+home, s.countNodes(now.Add(3*window)), "and counts while it is not heard")
+	relayNode := s.peers["10.0.0.1:1"]
+	relayNode.relays, relayNode.localNodes, relayNode.lastHeard = true, 5, now.Add(window)
+	require.Equal(t, local+5+local, s.countNodes(now.Add(window)), "a reported number replaces the estimate")
+	require.Equal(t, local+5+local, s.countNodes(now.Add(3*window)), "and counts while the relay is not heard")
 
-	s.toldNodes = true
-	require.Equal(t, home+5, s.countNodes(now.Add(3*window)), "its own relay has told the rest")
+	s.nodesReported = true
+	require.Equal(t, local+5, s.countNodes(now.Add(3*window)), "its own relay has reported the rest")
 }
 
-// A machine is suspended for five seconds. What its peers had told before would look as if it
-// had just come: loads that were over, a controller that had ended.
-func TestSuspended_AgesPeerReports(t *testing.T) {
+// State received before a suspension must not look fresh: stale loads, a crashed controller.
+func TestHandleSuspension_BackdatesPeerState(t *testing.T) {
 	now := time.Now()
-	s := acquainted(now)
+	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
-	s.heardController = now
+	s.controllerHeard = now
 	p := s.peers["10.0.0.0:1"]
 	p.controls, p.relays = true, true
 	p.own = work{loads: map[serving.EndpointID]relay.PeerLoad{"e": {Running: 4}}}
 	require.True(t, s.ControllerAlive())
 	require.NotNil(t, s.controllerOf("dc0", now))
-	require.Equal(t, 4, s.othersWork(false, nil, now).loads["e"].Running)
+	require.Equal(t, 4, s.peerWork(false, nil, now).loads["e"].Running)
 	s.HandleSuspension(5 * time.Second)
 	require.False(t, s.ControllerAlive())
 	require.Nil(t, s.controllerOf("dc0", now))
-	require.Empty(t, s.othersWork(false, nil, now).loads)
-	require.True(t, p.storeSeen.IsZero(), "what was never seen stays so")
+	require.Empty(t, s.peerWork(false, nil, now).loads)
+	require.True(t, p.storeSeen.IsZero(), "a zero time stays zero")
 }
 
-// Loads are not paced before the first request of all. With three hundred nodes each gets less
-// than one a second: a controller that went by its own first request alone had 25 loads begin
-// in the first half second of traffic, which others had met already.
-func TestHeardRequests_CountsPeers(t *testing.T) {
-	s := acquainted(time.Now())
+// Model loads are unpaced before the first request of all nodes. A controller that only counted
+// its own requests started too many loads under traffic.
+func TestApplyMessage_RecordsPeerDemand(t *testing.T) {
+	s := newTestGossiper(time.Now())
 	s.directory = directory.New(directory.Codec{})
-	from := s.peers["10.0.0.0:1"].named()
-	s.take(&peers.ShareMessage{From: from}, from.GetAddress())
-	require.False(t, s.asked.Load())
-	s.take(&peers.ShareMessage{From: from, RelayedDemand: []*sharepb.Demand{{Service: "llm", Model: "m", Groups: 0.1}}}, from.GetAddress())
-	require.True(t, s.asked.Load())
+	from := s.peers["10.0.0.0:1"].toNode()
+	s.applyMessage(&peers.ShareMessage{From: from}, from.GetAddress())
+	require.False(t, s.demandReported.Load())
+	s.applyMessage(&peers.ShareMessage{From: from, RelayedDemand: []*sharepb.Demand{{Service: "llm", Model: "m", Groups: 0.1}}}, from.GetAddress())
+	require.True(t, s.demandReported.Load())
 }
 
-// Who is asked for a permit at an endpoint that limits what it takes: the relay of its data
-// centre, by other nodes through their own. A node that has just started knows nobody, and
-// takes itself for the relay.
-func TestAllocator_IsTheRelayOfTheDataCentre(t *testing.T) {
+// Permit requests go to the relay of the endpoint's data centre, through a node's own relay. A
+// node that has just started takes itself for the relay and must not allocate.
+func TestAllocator_ReturnsRelayOfDataCentre(t *testing.T) {
 	now := time.Now()
-	other := func(g *Gossiper) { g.peers["10.0.0.1:1"].relays = true }
+	withRemoteRelay := func(g *Gossiper) { g.peers["10.0.0.1:1"].relays = true }
 	tests := map[string]struct {
-		life    string
+		id      string
 		prepare func(*Gossiper)
 		age     time.Duration
 		dc      serving.DataCentre
@@ -373,19 +362,19 @@
 		self    bool
 		unknown bool
 	}{
-		"a node asks its relay":                      {life: "n99", dc: "dc0", age: time.Minute, want: "10.0.0.0:1"},
-		"and for other data centres too":             {life: "n99", dc: "dc1", age: time.Minute, want: "10.0.0.0:1"},
-		"the relay allocates its own":                {life: "a", dc: "dc0", age: time.Minute, want: "10.0.0.100:1", self: true},
-		"and asks the relay of the other":            {life: "a", dc: "dc1", age: time.Minute, prepare: other, want: "10.0.0.1:1"},
-		"which it may not hear":                      {life: "a", dc: "dc1", age: time.Minute, unknown: true},
-		"one that has just started allocates none":   {life: "a", dc: "dc0", age: allocateAfter / 2, unknown: true},
-		"one that has just started may ask its own":  {life: "n99", dc: "dc0", age: allocateAfter / 2, want: "10.0.0.0:1"},
-		"one that has just started may ask an other": {life: "a", dc: "dc1", age: allocateAfter / 2, prepare: other, want: "10.0.0.1:1"},
+		"a node calls its relay":                {id: "n99", dc: "dc0", age: time.Minute, want: "10.0.0.0:1"},
+		"also for other data centres":           {id: "n99", dc: "dc1", age: time.Minute, want: "10.0.0.0:1"},
+		"a relay allocates for its own":         {id: "a", dc: "dc0", age: time.Minute, want: "10.0.0.100:1", self: true},
+		"a relay calls the remote relay":        {id: "a", dc: "dc1", age: time.Minute, prepare: withRemoteRelay, want: "10.0.0.1:1"},
+		"remote relay unknown":                  {id: "a", dc: "dc1", age: time.Minute, unknown: true},
+		"a starting node allocates none":        {id: "a", dc: "dc0", age: allocatorWarmup / 2, unknown: true},
+		"a starting node calls its relay":       {id: "n99", dc: "dc0", age: allocatorWarmup / 2, want: "10.0.0.0:1"},
+		"a starting relay calls a remote relay": {id: "a", dc: "dc1", age: allocatorWarmup / 2, prepare: withRemoteRelay, want: "10.0.0.1:1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := acquainted(now)
-			s.config.Incarnation, s.began = test.life, now.Add(-test.age)
+			s := newTestGossiper(now)
+			s.config.Incarnation, s.startedAt = test.id, now.Add(-test.age)
 			if test.prepare != nil {
 				test.prepare(s)
 			}
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -9,30 +9,30 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// needsSum reports whether the sums have to be made anew. Made twenty times a second they
-// cost a node without requests as much as a busy one.
-func (g *Gossiper) needsSum(now time.Time) bool {
+// needsAggregation reports whether the totals have to be computed again. At each tick that would
+// dominate the load of an idle node.
+func (g *Gossiper) needsAggregation(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.dirty || now.Sub(g.summed) >= sumPause
+	return g.dirty || now.Sub(g.lastAggregated) >= maxAggregateAge
 }
 
-// sum tells the balancer and the budget what the peers told, and has a relay note
-// the places of the nodes that it tells.
-func (g *Gossiper) sum(now time.Time) {
+// updateAggregates passes the peers' totals and reports to the balancer and the retry budget, and
+// assigns ranks if this node is a relay.
+func (g *Gossiper) updateAggregates(now time.Time) {
 	controls := g.controls()
-	own, ownCutOff := g.balancer.Suspects(now), g.balancer.UnreachableDataCentres(now)
+	own, ownUnreachable := g.balancer.Suspects(now), g.balancer.UnreachableDataCentres(now)
 	g.mu.Lock()
-	g.dirty, g.summed = false, now
-	relays := g.relaysHere(controls, now)
+	g.dirty, g.lastAggregated = false, now
+	relays := g.isRelay(controls, now)
 	g.assignRanks(relays)
 	g.nodes = max(g.nodes, g.countNodes(now))
 	nodes := g.nodes
-	total := g.othersWork(relays, nil, now)
+	total := g.peerWork(relays, nil, now)
 	if relays {
-		g.aggregated = g.aggregate(own, ownCutOff, now)
-	} else if word := g.wordOf(g.config.DataCentre, now); word != nil {
-		g.aggregated = word.peerReports
+		g.aggregated = g.aggregateReports(own, ownUnreachable, now)
+	} else if relayNode := g.activeRelay(g.config.DataCentre, now); relayNode != nil {
+		g.aggregated = relayNode.peerReports
 	} else {
 		g.aggregated = relay.PeerReports{}
 	}
@@ -43,55 +43,52 @@
 	g.budget.SetNodes(nodes)
 }
 
-// countNodes counts the nodes of all data centres, as far as this node hears of them; the
-// caller holds the lock. Of a data centre that it has never heard of, nor was told of by a
-// relay, it takes as many as of its own: they spend their parts of the retry budget's slack
-// as well, and three data centres that are cut off from each other from their first moment
-// would each take the whole of it.
+// countNodes estimates the number of nodes of all data centres; the caller holds the lock. A data
+// centre of which nothing was ever reported is assumed to have as many nodes as this one:
+// otherwise data centres that are partitioned from the start would each use the whole slack of
+// the retry budget.
 func (g *Gossiper) countNodes(now time.Time) int {
-	home := g.homeNodes()
-	n := home
+	local := g.localNodes()
+	n := local
 	for _, dc := range g.config.DataCentreNames {
 		if dc == g.config.DataCentre {
 			continue
 		}
-		if p := g.wordOf(dc, now); p != nil {
-			g.nodesOf[dc] = max(g.nodesOf[dc], p.homeNodes)
+		if p := g.activeRelay(dc, now); p != nil {
+			g.dataCentreNodes[dc] = max(g.dataCentreNodes[dc], p.localNodes)
 		}
 		switch {
-		case g.nodesOf[dc] > 0:
-			n += g.nodesOf[dc]
-		case !g.toldNodes && now.Sub(g.began) >= g.config.RetryWindow:
-			n += home
+		case g.dataCentreNodes[dc] > 0:
+			n += g.dataCentreNodes[dc]
+		case !g.nodesReported && now.Sub(g.startedAt) >= g.config.RetryWindow:
+			n += local
 		}
 	}
 	return n
 }
 
-// totalDemand is the work that callers ask for of each model, at this node and
-// all that it hears of.
+// totalDemand returns the demand for each model, at this node and all peers.
 func (g *Gossiper) totalDemand() map[directory.Pool]relay.ModelDemand {
 	now := time.Now()
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	total := g.othersWork(g.relaysHere(controls, now), nil, now)
+	total := g.peerWork(g.isRelay(controls, now), nil, now)
 	total.add(work{demand: g.demand.Rates(now)})
 	return total.demand
 }
 
-// ControlDemand is the total demand as the controller plans by it.
+// ControlDemand returns the total demand in the controller's form.
 func (g *Gossiper) ControlDemand() map[directory.Pool]groupcontrol.Demand {
 	out := map[directory.Pool]groupcontrol.Demand{}
-	for pool, asked := range g.totalDemand() {
-		judged := asked.InTime + asked.Late
-		out[pool] = groupcontrol.Demand{Groups: asked.Groups, Requests: asked.Requests, InTime: asked.InTime / max(1, judged), Measured: judged}
+	for pool, d := range g.totalDemand() {
+		measured := d.InTime + d.Late
+		out[pool] = groupcontrol.Demand{Groups: d.Groups, Requests: d.Requests, InTime: d.InTime / max(1, measured), Measured: measured}
 	}
 	return out
 }
 
-// work is what nodes have under way at each endpoint, and what callers ask them
-// for of each model.
+// work has the loads of endpoints and the demand for models of some nodes.
 type work struct {
 	loads  map[serving.EndpointID]relay.PeerLoad
 	demand map[directory.Pool]relay.ModelDemand
@@ -101,60 +98,58 @@
 	return work{map[serving.EndpointID]relay.PeerLoad{}, map[directory.Pool]relay.ModelDemand{}}
 }
 
-// add adds the work of other nodes.
 func (w work) add(other work) {
 	for id, l := range other.loads {
 		w.loads[id] = w.loads[id].Add(l)
 	}
-	for pool, asked := range other.demand {
-		w.demand[pool] = w.demand[pool].Add(asked)
+	for pool, d := range other.demand {
+		w.demand[pool] = w.demand[pool].Add(d)
 	}
 }
 
-// othersWork sums up the work of others than this node, and than one peer; the
-// caller holds the lock. A relay takes what the nodes of its data centre told, and
-// the words of the other data centres' relays; others take the word of their relay.
-func (g *Gossiper) othersWork(relays bool, except *peer, now time.Time) work {
+// peerWork sums the work of all nodes except this one and one peer; the caller holds the lock. A
+// relay adds up the nodes of its data centre and the relays of the others; other nodes use what
+// their relay reports.
+func (g *Gossiper) peerWork(relays bool, except *peer, now time.Time) work {
 	total := newWork()
-	if word := g.wordOf(g.config.DataCentre, now); word != nil && !relays {
-		total.add(word.own)
-		total.add(word.relayed)
+	if relayNode := g.activeRelay(g.config.DataCentre, now); relayNode != nil && !relays {
+		total.add(relayNode.own)
+		total.add(relayNode.relayed)
 		return total
 	}
 	for _, p := range g.peers {
-		if p != except && p.dataCentre == g.config.DataCentre && now.Sub(p.heard) <= loadTTL {
+		if p != except && p.dataCentre == g.config.DataCentre && now.Sub(p.lastHeard) <= loadTTL {
 			total.add(p.own)
 		}
 	}
 	for _, dc := range g.dataCentres() {
-		if word := g.wordOf(dc, now); word != nil && word != except && dc != g.config.DataCentre {
-			total.add(word.own)
-			total.add(word.relayed)
+		if relayNode := g.activeRelay(dc, now); relayNode != nil && relayNode != except && dc != g.config.DataCentre {
+			total.add(relayNode.own)
+			total.add(relayNode.relayed)
 		}
 	}
 	return total
 }
 
-// homeWork sums up the work of the other nodes of this data centre; the caller
-// holds the lock.
-func (g *Gossiper) homeWork(now time.Time) work {
+// localWork sums the work of the other nodes of this data centre; the caller holds the lock.
+func (g *Gossiper) localWork(now time.Time) work {
 	total := newWork()
 	for _, p := range g.peers {
-		if p.dataCentre == g.config.DataCentre && now.Sub(p.heard) <= loadTTL {
+		if p.dataCentre == g.config.DataCentre && now.Sub(p.lastHeard) <= loadTTL {
 			total.add(p.own)
 		}
 	}
 	return total
 }
 
-// Suspects returns what this node and its peers find silent or failing.
+// Suspects returns the endpoints that this node or a peer suspects.
 func (g *Gossiper) Suspects() []serving.EndpointID {
 	now := time.Now()
 	out := g.balancer.Suspects(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
-		if now.Sub(p.heard) < loadTTL {
+		if now.Sub(p.lastHeard) < loadTTL {
 			out = append(out, p.suspects...)
 		}
 	}
--- a/internal/gossip/lookup.go
+++ b/internal/gossip/lookup.go
@@ -11,54 +11,53 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// lookupPause is the time between two looks for the controllers of data centres of
-// which no node is known: each costs a call of the store.
-const lookupPause = 5 * time.Second
+// lookupInterval is the time between two lookups of the controllers of data centres without a
+// known node; each is a call to the store.
+const lookupInterval = 5 * time.Second
 
-// storeCallTimeout bounds a call of the store.
 const storeCallTimeout = 1200 * time.Millisecond
 
-// followRelays looks for the controllers of data centres of which no node is known:
-// seeds may all be stale. Only a relay does, for all nodes of its data centre.
-func (g *Gossiper) followRelays(ctx context.Context) {
-	clock.Every(ctx, lookupPause, func(now time.Time) {
+// findControllers looks up the controllers of data centres without a known node, since all seeds
+// may be stale. Only a relay does so, for all nodes of its data centre.
+func (g *Gossiper) findControllers(ctx context.Context) {
+	clock.Every(ctx, lookupInterval, func(now time.Time) {
 		for _, dc := range g.unknownDataCentres(now) {
-			g.lookUp(ctx, dc)
+			g.lookUpController(ctx, dc)
 		}
 	})
 }
 
-// unknownDataCentres returns those of which a relay should know a node and does
-// not.
+// unknownDataCentres returns the data centres without a usable node, or nil if this node is not a
+// relay.
 func (g *Gossiper) unknownDataCentres(now time.Time) []serving.DataCentre {
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.relaysHere(controls, now) {
+	if !g.isRelay(controls, now) {
 		return nil
 	}
 	var out []serving.DataCentre
 	for _, dc := range g.config.DataCentreNames {
-		if len(g.ordered(dc)) == 0 {
+		if len(g.byRank(dc)) == 0 {
 			out = append(out, dc)
 		}
 	}
 	return out
 }
 
-// lookUp makes the controller of a data centre known by its lease.
-func (g *Gossiper) lookUp(ctx context.Context, dataCentre serving.DataCentre) {
+// lookUpController adds the controller of a data centre as a peer, from its lease.
+func (g *Gossiper) lookUpController(ctx context.Context, dataCentre serving.DataCentre) {
 	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	page, err := g.store.Read(ctx, groupcontrol.LeaseTable, string(dataCentre))
 	if err != nil {
-		g.log.Info("the controller of a data centre was not found", "data_centre", string(dataCentre), "error", err)
+		g.log.Info("failed to look up the controller of a data centre", "data_centre", string(dataCentre), "error", err)
 		return
 	}
 	for _, r := range page.Rows {
 		var row lease.Row
 		if err := json.Unmarshal(r.Value, &row); err != nil {
-			g.log.Error("a lease cannot be read", "data_centre", string(dataCentre), "version", r.Version, "error", err)
+			g.log.Error("failed to decode a lease", "data_centre", string(dataCentre), "version", r.Version, "error", err)
 			continue
 		}
 		g.ObserveHolder(row, dataCentre)
@@ -72,5 +71,5 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.meet(row.Address, row.Holder, string(dataCentre))
+	g.addPeer(row.Address, row.Holder, string(dataCentre))
 }
--- a/internal/gossip/permits.go
+++ b/internal/gossip/permits.go
@@ -13,59 +13,57 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Permits at an endpoint that limits how much it takes are allocated by the relay of its data
-// centre. Who cannot reach that data centre reaches no endpoint there either. A node that does
-// not relay asks its own relay, which passes the request on to that of the other data centre:
-// nodes need to know no more of each other than for the exchanges.
+// Permits for a rate-limited endpoint are allocated by the relay of its data centre; a node that
+// cannot reach that data centre cannot reach its endpoints either. Other nodes send the request
+// to their own relay, which forwards it, so that they need to know no nodes elsewhere.
 
 const (
-	// maxHops bounds how often a request for a permit is passed on: by the relay of the
-	// asking node, and by a relay that has just given its duty up.
+	// maxHops bounds how often a permit request is forwarded: by the relay of the requesting
+	// node, and by a node that has just ceased to be a relay.
 	maxHops = 2
-	// allocateAfter is how long after its start a node allocates no permits: until it knows
-	// others it takes itself for the relay of its data centre, as each of them does.
-	allocateAfter = time.Second
+	// allocatorWarmup is how long after its start a node allocates no permits: until it knows
+	// other nodes it takes itself for the relay.
+	allocatorWarmup = time.Second
 )
 
-var errNoAllocator = errors.New("no allocator is known for the data centre")
+var errNoAllocator = errors.New("no known allocator for the data centre")
 
-// allNodes is how many nodes there are.
-func (g *Gossiper) allNodes() int {
+// nodeCount returns the number of nodes of all data centres.
+func (g *Gossiper) nodeCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return max(g.nodes, g.config.Nodes)
 }
 
-// allocator is the node to which a request for a permit at a data centre's endpoint goes
-// from here, and whether that is this node itself, which then allocates the permit. The relay of the
-// data centre allocates; others are on the way to it.
+// allocator returns the next hop of a permit request for a data centre's endpoint, and whether
+// that is this node, which then allocates the permit.
 func (g *Gossiper) allocator(dc serving.DataCentre, now time.Time) (address string, self bool, err error) {
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := g.relaysOf(g.config.DataCentre, controls, now)[0]
 	if dc != g.config.DataCentre && g.isSelf(own) {
-		relay := g.wordOf(dc, now)
+		relay := g.activeRelay(dc, now)
 		if relay == nil {
 			return "", false, errNoAllocator
 		}
 		return relay.address, false, nil
 	}
-	if g.isSelf(own) && now.Sub(g.began) < allocateAfter {
+	if g.isSelf(own) && now.Sub(g.startedAt) < allocatorWarmup {
 		return "", false, errNoAllocator
 	}
 	return own.address, g.isSelf(own), nil
 }
 
-// askPermit asks for a permit at an endpoint that limits how much it takes.
-func (g *Gossiper) askPermit(ctx context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
+// requestPermit requests a permit for a rate-limited endpoint.
+func (g *Gossiper) requestPermit(ctx context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
 	now := time.Now()
 	answer, err := g.AcquirePermit(ctx, &sharepb.PermitRequest{Advisory: throttle.ToWire(e.Incarnation(), known, now), DataCentre: string(e.DataCentre)})
 	if err != nil {
 		return throttle.Permit{}, err
 	}
-	_, told := throttle.FromWire(answer.GetAdvisory(), time.Now())
-	return throttle.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond, Limit: told}, nil
+	_, limit := throttle.FromWire(answer.GetAdvisory(), time.Now())
+	return throttle.Permit{Granted: answer.GetGranted(), Wait: time.Duration(answer.GetWaitMs()) * time.Millisecond, Limit: limit}, nil
 }
 
 // AcquirePermit implements peers.ShareHandler.
@@ -81,11 +79,11 @@
 	case q.GetHops() >= maxHops:
 		return nil, oops.In("throttle").Wrap(errNoAllocator)
 	}
-	passed := &sharepb.PermitRequest{Advisory: q.GetAdvisory(), DataCentre: q.GetDataCentre(), Hops: q.GetHops() + 1}
-	return g.client.AcquirePermit(ctx, address, passed)
+	forwarded := &sharepb.PermitRequest{Advisory: q.GetAdvisory(), DataCentre: q.GetDataCentre(), Hops: q.GetHops() + 1}
+	return g.client.AcquirePermit(ctx, address, forwarded)
 }
 
-// toPermitAnswer tells an answer; a wait of less than a millisecond counts as one.
+// toPermitAnswer encodes a permit; its wait is rounded up to a millisecond.
 func toPermitAnswer(inc serving.Incarnation, a throttle.Permit, now time.Time) *sharepb.PermitAnswer {
 	return &sharepb.PermitAnswer{
 		Granted:  a.Granted,
--- a/internal/gossip/quarantine.go
+++ b/internal/gossip/quarantine.go
@@ -7,67 +7,64 @@
 	"github.com/ridgehinge/ridgehinge/internal/clock"
 )
 
-// Requests that end the endpoints that run them come again at any node, so what each node
-// has seen of them is told to all with the other news. The relay of a data centre also
-// keeps it in the platform's table: all nodes may be killed at once, and a data centre that
-// is cut off from the others may still reach the table.
+// Requests that crash endpoints may be retried through any node, so their records are gossiped.
+// The relay of a data centre also stores them in the platform's table, since all nodes may be
+// killed at once, and a partitioned data centre may still reach the table.
 
 const (
-	// quarantineTick is the time between two looks at what the table is to hold. Users
-	// count on a node three seconds after trouble.
-	quarantineTick = 250 * time.Millisecond
-	// quarantineFirst is how long after its start a node looks whether it relays, and reads
-	// the table if so: by then relays have told others that they do not.
-	quarantineFirst = 500 * time.Millisecond
+	// quarantineInterval is the time between two checks for pending changes of the table.
+	quarantineInterval = 250 * time.Millisecond
+	// quarantineStartDelay is how long after its start a node first accesses the table; by
+	// then it knows whether another node is the relay.
+	quarantineStartDelay = 500 * time.Millisecond
 )
 
-// triesQuarantined reports whether this node is the one that sends a request from quarantine
-// once: the controller of the first data centre by name, of those that hear each other.
-func (g *Gossiper) triesQuarantined() bool {
+// sendsTrials reports whether this node is the one that sends trial requests: the controller of
+// the first data centre by name, among those that hear each other.
+func (g *Gossiper) sendsTrials() bool {
 	if !g.controls() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.isFirst(time.Now())
+	return g.isFirstDataCentre(time.Now())
 }
 
-// keepQuarantine keeps the table in step for as long as this node relays.
-func (g *Gossiper) keepQuarantine(ctx context.Context) {
-	clock.Every(ctx, quarantineTick, func(now time.Time) {
-		g.quarantine.over = append(g.quarantine.over, g.quarantine.list.Expire(now)...)
-		if duty := g.quarantineDuty(now); duty.keeps {
-			g.quarantine.step(ctx, duty, now)
+// runQuarantine synchronizes the table while this node is a relay.
+func (g *Gossiper) runQuarantine(ctx context.Context) {
+	clock.Every(ctx, quarantineInterval, func(now time.Time) {
+		g.quarantine.expired = append(g.quarantine.expired, g.quarantine.list.Expire(now)...)
+		if role := g.quarantineRole(now); role.active {
+			g.quarantine.sync(ctx, role, now)
 		} else {
-			// Whoever relays next reads the table first.
-			g.quarantine.read = time.Time{}
+			// The table is read again before this node writes as a relay.
+			g.quarantine.lastRead = time.Time{}
 		}
 	})
 }
 
-// quarantineDuty is what a node does about the table.
-type quarantineDuty struct {
-	// keeps is set for the relay of a data centre, first for that of the first one.
-	keeps bool
-	first bool
-	// apart is set while some other data centre is not heard: then what its nodes find
-	// comes through the table.
-	apart bool
+// quarantineRole is what a node does with the quarantine's table.
+type quarantineRole struct {
+	// active is set for a relay, firstDataCentre for that of the first data centre.
+	active          bool
+	firstDataCentre bool
+	// partitioned is set while another data centre is unreachable; its records then arrive
+	// through the table.
+	partitioned bool
 }
 
-// quarantineDuty returns what this node does about the table now.
-func (g *Gossiper) quarantineDuty(now time.Time) quarantineDuty {
+func (g *Gossiper) quarantineRole(now time.Time) quarantineRole {
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Sub(g.began) < quarantineFirst || g.leaving || !g.relaysHere(controls, now) {
-		return quarantineDuty{}
+	if now.Sub(g.startedAt) < quarantineStartDelay || g.stopping || !g.isRelay(controls, now) {
+		return quarantineRole{}
 	}
-	d := quarantineDuty{keeps: true, first: g.isFirst(now)}
+	role := quarantineRole{active: true, firstDataCentre: g.isFirstDataCentre(now)}
 	for _, dc := range g.dataCentres() {
-		if dc != g.config.DataCentre && g.wordOf(dc, now) == nil {
-			d.apart = true
+		if dc != g.config.DataCentre && g.activeRelay(dc, now) == nil {
+			role.partitioned = true
 		}
 	}
-	return d
+	return role
 }
--- a/internal/gossip/quarantinetable.go
+++ b/internal/gossip/quarantinetable.go
@@ -14,41 +14,41 @@
 	qlist "github.com/ridgehinge/ridgehinge/pkg/quarantine"
 )
 
-// QuarantineTable has a row for each content, in one partition.
+// QuarantineTable has a row for each fingerprint, in one partition.
 const QuarantineTable = "ridgehinge-quarantine"
 
 const (
-	// rowsWritten bounds the rows of one change, which the platform bounds to 100.
-	rowsWritten = 100
-	// quarantineRows bounds the rows of the table, of 102 bytes with three ends. Half of it is kept
-	// for those in quarantine: what ended two endpoints may have merely run there.
-	quarantineRows = 1024
-	// quarantineApart is the time between two reads while some data centre is not heard,
-	// and between two tries at a store that does not answer.
-	quarantineApart = time.Second
-	quarantineCall  = time.Second
-	// quarantineSecond is how long the relays of other data centres leave it to the first
-	// one to write. They read what it has written before they write themselves: it may be
-	// cut off from the store.
-	quarantineSecond = 2 * time.Second
+	// maxRowsPerChange is the platform's bound.
+	maxRowsPerChange = 100
+	// maxQuarantineRows bounds the rows of the table. Half of them are reserved for blocked
+	// requests; one with two crashes may have merely run there.
+	maxQuarantineRows = 1024
+	// quarantineReadInterval is the time between two reads while another data centre is
+	// unreachable, and between two attempts while the store is unavailable.
+	quarantineReadInterval = time.Second
+	quarantineCallTimeout  = time.Second
+	// secondaryWriteDelay is how long after a read the relays of other data centres leave
+	// writing to the first one, which may be unable to reach the store. They read the table
+	// again before they write.
+	secondaryWriteDelay = 2 * time.Second
 )
 
-// quarantineTable keeps what is known of requests that end endpoints in step with the table.
+// quarantineTable synchronizes the quarantine with its table.
 type quarantineTable struct {
 	list  *quarantine.Quarantine
 	store table.Store
 	log   logging.Logger
-	// read is when the table was last read, tried when that or a write was last tried;
-	// zero means never.
-	read  time.Time
-	tried time.Time
-	// era is that of the store by which the versions count.
+	// lastRead is when the table was last read, lastAttempt when a read or write was last
+	// attempted; zero means never.
+	lastRead    time.Time
+	lastAttempt time.Time
+	// era is the store era to which the versions belong.
 	era uint64
-	// versions has the rows that the table is known to have.
+	// versions has the versions of the table's known rows.
 	versions map[qlist.Fingerprint]uint64
-	// over are rows that are to be removed.
-	over []qlist.Fingerprint
-	// full is set while the table takes no more rows.
+	// expired are rows that are to be removed.
+	expired []qlist.Fingerprint
+	// full is set while the table has maxQuarantineRows.
 	full bool
 }
 
@@ -56,66 +56,66 @@
 	return &quarantineTable{list: q, store: store, log: logging.For("quarantine"), versions: map[qlist.Fingerprint]uint64{}}
 }
 
-// step makes the calls that are due: a read at first and while another data centre is not
-// heard, and a change when there is something to be kept.
-func (c *quarantineTable) step(ctx context.Context, duty quarantineDuty, now time.Time) {
-	c.meetEra()
-	if now.Sub(c.tried) < quarantineApart && (c.read.IsZero() || c.tried.After(c.read)) {
+// sync makes the calls that are due: an initial read, reads while another data centre is
+// unreachable, and a commit if there are pending changes.
+func (c *quarantineTable) sync(ctx context.Context, role quarantineRole, now time.Time) {
+	c.checkEra()
+	if now.Sub(c.lastAttempt) < quarantineReadInterval && (c.lastRead.IsZero() || c.lastAttempt.After(c.lastRead)) {
 		return
 	}
-	write, remove := c.due()
-	due := len(write)+len(remove) > 0
-	switch since := now.Sub(c.read); {
-	case c.read.IsZero(), duty.apart && since >= quarantineApart, !duty.first && due && since >= quarantineSecond:
-		c.tried = now
+	write, remove := c.pending()
+	pending := len(write)+len(remove) > 0
+	switch since := now.Sub(c.lastRead); {
+	case c.lastRead.IsZero(), role.partitioned && since >= quarantineReadInterval, !role.firstDataCentre && pending && since >= secondaryWriteDelay:
+		c.lastAttempt = now
 		if !c.readTable(ctx) {
 			return
 		}
-		c.read = now
-		write, remove = c.due()
-	case !duty.first:
+		c.lastRead = now
+		write, remove = c.pending()
+	case !role.firstDataCentre:
 		return
 	}
 	if len(write)+len(remove) == 0 {
 		return
 	}
-	c.tried = now
+	c.lastAttempt = now
 	if c.commit(ctx, write, remove) {
-		c.tried = time.Time{}
+		c.lastAttempt = time.Time{}
 	}
 }
 
-// meetEra has the table read and written again when the store came back from an older copy: it
-// may lack what it held.
-func (c *quarantineTable) meetEra() {
+// checkEra has the table read and written again after the store was restored from an older copy,
+// which may lack rows.
+func (c *quarantineTable) checkEra() {
 	era := c.store.Era()
 	if era == c.era {
 		return
 	}
-	c.era, c.read = era, time.Time{}
+	c.era, c.lastRead = era, time.Time{}
 	c.list.MarkAllUnstored()
 }
 
-// due returns what is to be written and removed now.
-func (c *quarantineTable) due() (write []qlist.Record, remove []qlist.Fingerprint) {
-	ends := qlist.MaxCrashes - 1
-	if len(c.versions) >= quarantineRows/2 {
-		ends = qlist.MaxCrashes
-	}
-	most := min(rowsWritten, quarantineRows-len(c.versions))
-	c.noteFull(most <= 0)
-	write, remove = c.list.Unstored(ends, max(0, most))
-	remove = append(remove, c.over...)
-	return write, remove[:min(len(remove), rowsWritten-len(write))]
+// pending returns the records to be written and the rows to be removed now.
+func (c *quarantineTable) pending() (write []qlist.Record, remove []qlist.Fingerprint) {
+	minCrashes := qlist.MaxCrashes - 1
+	if len(c.versions) >= maxQuarantineRows/2 {
+		minCrashes = qlist.MaxCrashes
+	}
+	limit := min(maxRowsPerChange, maxQuarantineRows-len(c.versions))
+	c.logFull(limit <= 0)
+	write, remove = c.list.Unstored(minCrashes, max(0, limit))
+	remove = append(remove, c.expired...)
+	return write, remove[:min(len(remove), maxRowsPerChange-len(write))]
 }
 
-// noteFull logs when the table becomes full, and when it takes rows again.
-func (c *quarantineTable) noteFull(full bool) {
+// logFull logs when the table becomes full or has room again.
+func (c *quarantineTable) logFull(full bool) {
 	if full == c.full {
 		return
 	}
 	c.full = full
-	c.log.Warn("the quarantine's table has reached its bound, or has room again", "full", full, "rows", len(c.versions), "bound", quarantineRows)
+	c.log.Warn("the quarantine's table became full or has room again", "full", full, "rows", len(c.versions), "bound", maxQuarantineRows)
 }
 
 // quarantineRow is the value of a row.
@@ -126,23 +126,23 @@
 	Tried bool `json:"tried,omitempty"`
 }
 
-// readTable takes what the table holds and reports whether it could be read.
+// readTable merges the table's records and reports whether it could be read.
 func (c *quarantineTable) readTable(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, quarantineCall)
+	ctx, cancel := context.WithTimeout(ctx, quarantineCallTimeout)
 	defer cancel()
 	page, err := c.store.Read(ctx, QuarantineTable, "")
 	if err != nil {
-		c.log.Info("the quarantine's table cannot be read; what is known stays in force", "error", err)
+		c.log.Info("failed to read the quarantine's table; keeping the known records", "error", err)
 		return false
 	}
 	now := time.Now()
 	clear(c.versions)
 	var records []qlist.Record
-	unreadable, firstErr := 0, error(nil)
+	invalid, firstErr := 0, error(nil)
 	for _, row := range page.Rows {
 		f, err := qlist.ParseFingerprint(row.Key)
 		if err == nil {
-			// Also a row that cannot be read is replaced by this node's own.
+			// An invalid row is also replaced by this node's record of the fingerprint.
 			c.versions[f] = row.Version
 			var r qlist.Record
 			if r, err = parseRecord(f, row.Value, now); err == nil {
@@ -150,12 +150,12 @@
 				continue
 			}
 		}
-		unreadable++
+		invalid++
 		firstErr = cmp.Or(firstErr, err)
 	}
-	if unreadable > 0 {
-		// Another writer's: they say nothing of any request, and the others hold.
-		c.log.Error("rows of the quarantine cannot be read; they are left alone", "rows", unreadable, "first_error", firstErr)
+	if invalid > 0 {
+		// Another program may have written them.
+		c.log.Error("ignoring invalid rows of the quarantine's table", "rows", invalid, "first_error", firstErr)
 	}
 	c.list.Merge(records, "table", now)
 	c.list.MarkStored(records, nil)
@@ -165,8 +165,8 @@
 	return true
 }
 
-// parseRecord reads a row's value. When an endpoint ended is not kept, since clocks differ:
-// it counts as now.
+// parseRecord decodes a row. Rows have no times of crashes, since clocks differ; crashes are
+// dated now.
 func parseRecord(f qlist.Fingerprint, text []byte, now time.Time) (qlist.Record, error) {
 	var value quarantineRow
 	if err := json.Unmarshal(text, &value); err != nil {
@@ -179,16 +179,16 @@
 	return r, nil
 }
 
-// commit writes and removes rows and reports whether that was done. A row that another
-// node has changed meanwhile has the table read again.
+// commit writes and removes rows and reports whether it succeeded. On a conflict with another
+// node's change the table is read again.
 func (c *quarantineTable) commit(ctx context.Context, write []qlist.Record, remove []qlist.Fingerprint) bool {
 	change := table.Change{}
 	for _, r := range write {
 		value := quarantineRow{Tried: r.TrialUsed}
-		for _, end := range r.Crashes {
-			value.Ends = append(value.Ends, end.Incarnation)
+		for _, crash := range r.Crashes {
+			value.Ends = append(value.Ends, crash.Incarnation)
 		}
-		text, _ := json.Marshal(value) // A plain struct always encodes.
+		text, _ := json.Marshal(value) // Encoding a plain struct never fails.
 		row := table.Row{Table: QuarantineTable, Key: r.Fingerprint.String(), Value: text}
 		change.Writes = append(change.Writes, row)
 		row.Version = c.versions[r.Fingerprint]
@@ -197,16 +197,16 @@
 	for _, f := range remove {
 		change.Removals = append(change.Removals, table.Row{Table: QuarantineTable, Key: f.String()})
 	}
-	ctx, cancel := context.WithTimeout(ctx, quarantineCall)
+	ctx, cancel := context.WithTimeout(ctx, quarantineCallTimeout)
 	defer cancel()
 	version, err := c.store.Commit(ctx, change)
 	if errors.Is(err, table.ErrConflict) {
-		c.read = time.Time{}
+		c.lastRead = time.Time{}
 		return false
 	}
 	if err != nil {
-		// It may have been done: then the next try meets a conflict and reads.
-		c.log.Info("the quarantine's table does not take a change; it is tried again", "writes", len(write), "removals", len(remove), "error", err)
+		// The change may have been applied; the next attempt then conflicts and reads.
+		c.log.Info("failed to change the quarantine's table; retrying", "writes", len(write), "removals", len(remove), "error", err)
 		return false
 	}
 	for _, r := range write {
@@ -215,8 +215,8 @@
 	for _, f := range remove {
 		delete(c.versions, f)
 	}
-	c.over = slices.DeleteFunc(c.over, func(f qlist.Fingerprint) bool { return slices.Contains(remove, f) })
+	c.expired = slices.DeleteFunc(c.expired, func(f qlist.Fingerprint) bool { return slices.Contains(remove, f) })
 	c.list.MarkStored(write, remove)
-	c.log.Info("the quarantine's table was changed", "writes", len(write), "removals", len(remove), "version", version)
+	c.log.Info("changed the quarantine's table", "writes", len(write), "removals", len(remove), "version", version)
 	return true
 }
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -9,49 +9,48 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// One node of each data centre relays: it hears all others of the data centre,
-// tells each what the rest have under way, and swaps sums with the relays of the
-// other data centres. That is the controller; while none is heard, the first two
-// nodes in the order of rank relay, so that a controller's end interrupts nothing.
+// One node of each data centre is its relay: it receives the loads of all others, sends each the
+// total of the rest, and exchanges totals with the relays of the other data centres. The relay is
+// the controller; while none is heard, the first two nodes by rank are relays, so that a crash of
+// the controller does not interrupt the exchange.
 
 const (
-	// standbyRelays relay while no controller speaks: the second in case that the
-	// first one has just ended too.
+	// standbyRelays is the number of relays while no controller is heard; the first one may
+	// have crashed as well.
 	standbyRelays = 2
-	// namedNodes of the own data centre are named to each node, so that it knows
-	// whom to call when those before them have ended.
-	namedNodes = 5
-	// acrossPause is how many times longer relays wait before they call those of other
-	// data centres, which call them as often: bytes between data centres cost, and
-	// fewer requests go there.
-	acrossPause = 2
-	// toldTTL is how long a node counts as a relay that another one named as such: it is
-	// called within that time, and says itself.
-	toldTTL = 5 * time.Second
+	// maxKnownNodes is the number of nodes of its own data centre that are sent to each node,
+	// so that it knows the next relays if the current ones crash.
+	maxKnownNodes = 5
+	// remoteIntervalFactor lengthens the call interval between relays of different data
+	// centres: that traffic is billed, and both sides call.
+	remoteIntervalFactor = 2
+	// namedRelayTTL is how long a node counts as a relay because another one named it; it is
+	// called within that time and then reports its own role.
+	namedRelayTTL = 5 * time.Second
 )
 
-// usable reports whether a peer is known and has not failed since it was heard.
-func (p *peer) usable() bool { return p.id != "" && !p.failed.After(p.heard) }
+// usable reports whether a peer's id is known and no call to it has failed since its last message.
+func (p *peer) usable() bool { return p.id != "" && !p.lastFailed.After(p.lastHeard) }
 
-// live reports whether a peer is a controller that spoke lately.
-func (p *peer) live(now time.Time) bool {
-	return p.controls && p.usable() && now.Sub(p.heard) < loadTTL
+// isLiveController reports whether a peer is a controller heard within loadTTL.
+func (p *peer) isLiveController(now time.Time) bool {
+	return p.controls && p.usable() && now.Sub(p.lastHeard) < loadTTL
 }
 
-// before reports the order in which nodes take over from each other: those with
-// the most processor first, since a relay's work grows with the nodes.
-func (p *peer) before(other *peer) int {
+// compareRank orders nodes for takeover: most processor cores first, since the work of a relay
+// grows with the nodes.
+func (p *peer) compareRank(other *peer) int {
 	return cmp.Or(cmp.Compare(other.cores, p.cores), cmp.Compare(p.id, other.id))
 }
 
-// self is this node as a peer.
+// self returns this node as a peer.
 func (g *Gossiper) self() *peer {
 	return &peer{id: g.config.Incarnation, address: g.config.Address, dataCentre: g.config.DataCentre, cores: float32(g.config.Cores)}
 }
 
-// ordered returns the usable nodes of a data centre, this one among them, in the
-// order of rank; the caller holds the lock.
-func (g *Gossiper) ordered(dataCentre serving.DataCentre) []*peer {
+// byRank returns the usable nodes of a data centre by rank, including this one; the caller holds
+// the lock.
+func (g *Gossiper) byRank(dataCentre serving.DataCentre) []*peer {
 	var out []*peer
 	if dataCentre == g.config.DataCentre {
 		out = append(out, g.self())
@@ -61,12 +60,12 @@
 			out = append(out, p)
 		}
 	}
-	slices.SortFunc(out, (*peer).before)
+	slices.SortFunc(out, (*peer).compareRank)
 	return out
 }
 
-// relaysOf returns the nodes that relay for a data centre, as far as this node
-// knows, itself among them; the caller holds the lock.
+// relaysOf returns the known relays of a data centre, which may include this node; the caller
+// holds the lock.
 func (g *Gossiper) relaysOf(dataCentre serving.DataCentre, controls bool, now time.Time) []*peer {
 	if dataCentre == g.config.DataCentre && controls {
 		return []*peer{g.self()}
@@ -74,44 +73,45 @@
 	if p := g.controllerOf(dataCentre, now); p != nil {
 		return []*peer{p}
 	}
-	ordered := g.ordered(dataCentre)
-	slices.SortStableFunc(ordered, func(a, b *peer) int { return b.toldSince(now).Compare(a.toldSince(now)) })
-	return ordered[:min(len(ordered), standbyRelays)]
+	byRank := g.byRank(dataCentre)
+	slices.SortStableFunc(byRank, func(a, b *peer) int { return b.recentlyNamedRelay(now).Compare(a.recentlyNamedRelay(now)) })
+	return byRank[:min(len(byRank), standbyRelays)]
 }
 
-// toldSince is when another node last named a peer as a relay, zero if that is long ago.
-func (p *peer) toldSince(now time.Time) time.Time {
-	if now.Sub(p.toldRelay) < toldTTL {
-		return p.toldRelay
+// recentlyNamedRelay returns when another node last named a peer as a relay, zero if that has
+// expired.
+func (p *peer) recentlyNamedRelay(now time.Time) time.Time {
+	if now.Sub(p.namedRelayAt) < namedRelayTTL {
+		return p.namedRelayAt
 	}
 	return time.Time{}
 }
 
-// controllerOf returns the live controller of a data centre among the peers,
-// of two that with the later epoch; the caller holds the lock.
+// controllerOf returns the live controller of a data centre among the peers, the one with the
+// latest epoch if there are several; the caller holds the lock.
 func (g *Gossiper) controllerOf(dataCentre serving.DataCentre, now time.Time) *peer {
 	var found *peer
 	for _, p := range g.peers {
-		if p.dataCentre == dataCentre && p.live(now) && (found == nil || p.epoch > found.epoch) {
+		if p.dataCentre == dataCentre && p.isLiveController(now) && (found == nil || p.epoch > found.epoch) {
 			found = p
 		}
 	}
 	return found
 }
 
-// relaysHere reports whether this node relays; the caller holds the lock.
-func (g *Gossiper) relaysHere(controls bool, now time.Time) bool {
+// isRelay reports whether this node is a relay; the caller holds the lock.
+func (g *Gossiper) isRelay(controls bool, now time.Time) bool {
 	return slices.ContainsFunc(g.relaysOf(g.config.DataCentre, controls, now), g.isSelf)
 }
 
 func (g *Gossiper) isSelf(p *peer) bool { return p.address == g.config.Address }
 
-// wordOf returns the node whose word counts for a data centre: of those that relay
-// for it the first that was heard lately, or nil; the caller holds the lock.
-func (g *Gossiper) wordOf(dataCentre serving.DataCentre, now time.Time) *peer {
+// activeRelay returns the relay whose reports count for a data centre, among those heard within
+// loadTTL, or nil; the caller holds the lock. Controllers go first, then later epochs, then rank.
+func (g *Gossiper) activeRelay(dataCentre serving.DataCentre, now time.Time) *peer {
 	var found *peer
 	for _, p := range g.peers {
-		if p.dataCentre != dataCentre || !p.relays || !p.usable() || now.Sub(p.heard) > loadTTL {
+		if p.dataCentre != dataCentre || !p.relays || !p.usable() || now.Sub(p.lastHeard) > loadTTL {
 			continue
 		}
 		switch {
@@ -119,14 +119,14 @@
 			found = p
 		case p.controls == found.controls && p.epoch > found.epoch:
 			found = p
-		case p.controls == found.controls && p.epoch == found.epoch && p.before(found) < 0:
+		case p.controls == found.controls && p.epoch == found.epoch && p.compareRank(found) < 0:
 			found = p
 		}
 	}
 	return found
 }
 
-// dataCentres returns those of the known nodes; the caller holds the lock.
+// dataCentres returns the data centres of the known nodes, sorted; the caller holds the lock.
 func (g *Gossiper) dataCentres() []serving.DataCentre {
 	seen := map[serving.DataCentre]bool{g.config.DataCentre: true}
 	for _, p := range g.peers {
@@ -142,14 +142,14 @@
 	return out
 }
 
-// due returns the peers to be called now: the relays that this node talks to, and
-// a few others.
-func (g *Gossiper) due(now time.Time) []*peer {
+// duePeers returns the peers to be called now: relays, and up to callsPerTick others. It marks
+// them as being called.
+func (g *Gossiper) duePeers(now time.Time) []*peer {
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.forgetLost(now)
-	relays := g.relaysHere(controls, now)
+	g.forgetUnreachable(now)
+	relays := g.isRelay(controls, now)
 	partners := map[string]bool{}
 	for _, dc := range g.dataCentres() {
 		if dc != g.config.DataCentre && !relays {
@@ -159,11 +159,11 @@
 			partners[p.address] = true
 		}
 	}
-	pace := g.pace(relays)
+	callInterval := g.callInterval(relays)
 	var out, others []*peer
 	for _, p := range g.peers {
-		interval := g.interval(p, partners[p.address], relays, pace, now)
-		if p.busy || interval == never || now.Sub(p.failed) < failedBackoff || now.Sub(p.called) < interval {
+		interval := g.interval(p, partners[p.address], relays, callInterval, now)
+		if p.calling || interval == never || now.Sub(p.lastFailed) < failedBackoff || now.Sub(p.lastCalled) < interval {
 			continue
 		}
 		if partners[p.address] {
@@ -172,48 +172,51 @@
 			others = append(others, p)
 		}
 	}
-	slices.SortFunc(others, func(a, b *peer) int { return cmp.Or(a.called.Compare(b.called), cmp.Compare(a.address, b.address)) })
+	slices.SortFunc(others, func(a, b *peer) int {
+		return cmp.Or(a.lastCalled.Compare(b.lastCalled), cmp.Compare(a.address, b.address))
+	})
 	out = append(out, others[:min(len(others), callsPerTick)]...)
 	for _, p := range out {
-		p.busy = true
-		p.called = now
+		p.calling = true
+		p.lastCalled = now
 	}
 	return out
 }
 
-// forgetLost drops peers that have long not answered; the caller holds the lock.
-func (g *Gossiper) forgetLost(now time.Time) {
+// forgetUnreachable drops peers that have been unreachable for forgetPeerAfter; the caller holds
+// the lock.
+func (g *Gossiper) forgetUnreachable(now time.Time) {
 	for address, p := range g.peers {
-		if p.failed.After(p.heard) && now.Sub(p.heard) > forgetPeer {
+		if p.lastFailed.After(p.lastHeard) && now.Sub(p.lastHeard) > forgetPeerAfter {
 			delete(g.peers, address)
 		}
 	}
 }
 
-// pace is the time between two calls of a relay; the caller holds the lock.
-func (g *Gossiper) pace(relays bool) time.Duration {
-	near := 0
+// callInterval returns the time between two calls to a relay; the caller holds the lock.
+func (g *Gossiper) callInterval(relays bool) time.Duration {
+	nodes := 0
 	if relays {
-		near = g.homeNodes()
+		nodes = g.localNodes()
 	}
 	for _, p := range g.peers {
 		if p.dataCentre == g.config.DataCentre && p.relays {
-			near = max(near, p.homeNodes)
+			nodes = max(nodes, p.localNodes)
 		}
 	}
-	interval := scaled(relayInterval, near-1, max(1, g.config.FullRateNodes))
-	return min(maxRelayInterval, max(interval, bearable(near, g.largestAnswer())))
+	interval := scaleInterval(relayInterval, nodes-1, max(1, g.config.FullRateNodes))
+	return min(maxRelayInterval, max(interval, byteRateInterval(nodes, g.maxAnswerBytes())))
 }
 
-// bearable is the time between two calls at which a relay sends no more than relayBytes
-// a second to a number of nodes.
-func bearable(nodes, bytes int) time.Duration {
-	return time.Duration(nodes*bytes) * time.Second / relayBytes
+// byteRateInterval returns the interval at which a relay that sends a number of bytes to each of
+// some nodes stays within maxRelayBytesPerSecond.
+func byteRateInterval(nodes, bytes int) time.Duration {
+	return time.Duration(nodes*bytes) * time.Second / maxRelayBytesPerSecond
 }
 
-// largestAnswer is the size of the last answers of relays, of the largest; the caller
-// holds the lock.
-func (g *Gossiper) largestAnswer() int {
+// maxAnswerBytes returns the size of the largest of the relays' last responses; the caller holds
+// the lock.
+func (g *Gossiper) maxAnswerBytes() int {
 	largest := 0
 	for _, p := range g.peers {
 		if p.relays {
@@ -223,9 +226,9 @@
 	return largest
 }
 
-// homeNodes counts the known nodes of this data centre, this one among them; the
-// caller holds the lock.
-func (g *Gossiper) homeNodes() int {
+// localNodes counts the known nodes of this data centre, including this one; the caller holds the
+// lock.
+func (g *Gossiper) localNodes() int {
 	n := 1
 	for _, p := range g.peers {
 		if p.id != "" && p.dataCentre == g.config.DataCentre {
@@ -235,68 +238,68 @@
 	return n
 }
 
-// interval is the time between two calls of a peer; the caller holds the lock.
-func (g *Gossiper) interval(p *peer, partner, relays bool, pace time.Duration, now time.Time) time.Duration {
+// interval returns the time between two calls to a peer; the caller holds the lock.
+func (g *Gossiper) interval(p *peer, partner, relays bool, callInterval time.Duration, now time.Time) time.Duration {
 	switch {
 	case p.id == "":
-		return introInterval
+		return unknownPeerInterval
 	case !p.usable():
 		return failedBackoff
 	case partner && p.dataCentre != g.config.DataCentre:
-		return min(maxRelayInterval, acrossPause*pace)
+		return min(maxRelayInterval, remoteIntervalFactor*callInterval)
 	case partner:
-		return pace
-	case relays && p.dataCentre == g.config.DataCentre && now.Sub(p.heard) > silentAfter:
-		// It calls; if it does not, it may not know this node.
-		return silentAfter
+		return callInterval
+	case relays && p.dataCentre == g.config.DataCentre && now.Sub(p.lastHeard) > silenceTimeout:
+		// It should have called; it may not know this node.
+		return silenceTimeout
 	}
 	return never
 }
 
-// scaled lengthens an interval when there are more nodes than it is for.
-func scaled(interval time.Duration, nodes, usual int) time.Duration {
+// scaleInterval lengthens an interval in proportion to the nodes beyond the usual number.
+func scaleInterval(interval time.Duration, nodes, usual int) time.Duration {
 	return interval * time.Duration(max(nodes, usual)) / time.Duration(usual)
 }
 
-// ownRelay returns the relay of this data centre to be called now, or nil if it is
-// this node, is not known or is being called.
-func (g *Gossiper) ownRelay(now time.Time) *peer {
+// claimRelayCall returns the relay of this data centre and marks it as being called, or nil if it
+// is this node or already being called.
+func (g *Gossiper) claimRelayCall(now time.Time) *peer {
 	controls := g.controls()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.relaysOf(g.config.DataCentre, controls, now)[0]
-	if g.isSelf(p) || p.busy {
+	if g.isSelf(p) || p.calling {
 		return nil
 	}
-	p.busy = true
-	p.called = now
+	p.calling = true
+	p.lastCalled = now
 	return p
 }
 
-// assignRanks has a relay note the places of the others of its data centre; the
-// caller holds the lock.
+// assignRanks updates the ranks of the other nodes of the data centre if this node is a relay;
+// the caller holds the lock.
 func (g *Gossiper) assignRanks(relays bool) {
 	if !relays {
 		g.ranks = nil
 		return
 	}
 	g.ranks = map[string]int{}
-	place := 0
-	for _, p := range g.ordered(g.config.DataCentre) {
+	n := 0
+	for _, p := range g.byRank(g.config.DataCentre) {
 		if !g.isSelf(p) {
-			place++
-			g.ranks[p.address] = place
+			n++
+			g.ranks[p.address] = n
 		}
 	}
 	g.rank, g.ranked = 0, true
 }
 
-// Leave has the relay hear that this node stops.
-func (g *Gossiper) Leave(ctx context.Context) {
+// AnnounceStop tells the relay that this node is stopping.
+func (g *Gossiper) AnnounceStop(ctx context.Context) {
 	g.mu.Lock()
-	g.leaving = true
+	g.stopping = true
 	g.mu.Unlock()
-	if p := g.ownRelay(time.Now()); p != nil {
+	if p := g.claimRelayCall(time.Now()); p != nil {
 		g.call(ctx, p)
 	}
 }
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -8,32 +8,32 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// minReporters is how many nodes must find the same before a relay tells the others: one
-// alone may have a bad link of its own.
+// minReporters is the number of nodes that must agree before a relay passes a report on; a
+// single node may have a faulty link.
 const minReporters = 2
 
-// aggregate returns what several nodes of this data centre find, this one among them; the
-// caller holds the lock.
-func (g *Gossiper) aggregate(own []serving.EndpointID, ownCutOff []serving.DataCentre, now time.Time) relay.PeerReports {
-	suspects, cutOff := map[serving.EndpointID]int{}, map[serving.DataCentre]int{}
+// aggregateReports returns the reports on which several nodes of this data centre agree, including
+// this one; the caller holds the lock.
+func (g *Gossiper) aggregateReports(own []serving.EndpointID, ownUnreachable []serving.DataCentre, now time.Time) relay.PeerReports {
+	suspects, unreachableDataCentres := map[serving.EndpointID]int{}, map[serving.DataCentre]int{}
 	count(suspects, own)
-	count(cutOff, ownCutOff)
+	count(unreachableDataCentres, ownUnreachable)
 	for _, p := range g.peers {
-		if p.dataCentre == g.config.DataCentre && now.Sub(p.heard) < loadTTL {
+		if p.dataCentre == g.config.DataCentre && now.Sub(p.lastHeard) < loadTTL {
 			count(suspects, p.suspects)
-			count(cutOff, p.cutOff)
+			count(unreachableDataCentres, p.unreachableDataCentres)
 		}
 	}
-	return relay.PeerReports{Suspects: reportedBySeveral(suspects), Unreachable: reportedBySeveral(cutOff)}
+	return relay.PeerReports{Suspects: reportedBySeveral(suspects), Unreachable: reportedBySeveral(unreachableDataCentres)}
 }
 
-func count[K comparable](reporters map[K]int, found []K) {
-	for _, k := range found {
+func count[K comparable](reporters map[K]int, reported []K) {
+	for _, k := range reported {
 		reporters[k]++
 	}
 }
 
-// reportedBySeveral returns what enough nodes found.
+// reportedBySeveral returns the keys with at least minReporters.
 func reportedBySeveral[K comparable](reporters map[K]int) map[K]bool {
 	out := map[K]bool{}
 	for k, n := range reporters {
@@ -44,24 +44,24 @@
 	return out
 }
 
-// addPeerReports adds it to a message of a relay.
-func addPeerReports(m *peers.ShareMessage, h relay.PeerReports) {
-	for id := range h.Suspects {
+// addPeerReports adds aggregated reports to a relay's message.
+func addPeerReports(m *peers.ShareMessage, r relay.PeerReports) {
+	for id := range r.Suspects {
 		m.RelayedSuspects = append(m.RelayedSuspects, string(id))
 	}
-	for dc := range h.Unreachable {
+	for dc := range r.Unreachable {
 		m.RelayedCutOff = append(m.RelayedCutOff, string(dc))
 	}
 }
 
-// toPeerReports is the reverse of addPeerReports.
-func toPeerReports(m *peers.ShareMessage) relay.PeerReports {
-	h := relay.PeerReports{Suspects: map[serving.EndpointID]bool{}, Unreachable: map[serving.DataCentre]bool{}}
+// peerReportsFrom is the reverse of addPeerReports.
+func peerReportsFrom(m *peers.ShareMessage) relay.PeerReports {
+	r := relay.PeerReports{Suspects: map[serving.EndpointID]bool{}, Unreachable: map[serving.DataCentre]bool{}}
 	for _, id := range m.GetRelayedSuspects() {
-		h.Suspects[serving.EndpointID(id)] = true
+		r.Suspects[serving.EndpointID(id)] = true
 	}
 	for _, dc := range m.GetRelayedCutOff() {
-		h.Unreachable[serving.DataCentre(dc)] = true
+		r.Unreachable[serving.DataCentre(dc)] = true
 	}
-	return h
+	return r
 }
--- /dev/null
+++ b/internal/gossip/role.go
@@ -0,0 +1,114 @@
+package gossip
+
+import (
+	"time"
+
+	"github.com/ridgehinge/ridgehinge/internal/directory"
+	"github.com/ridgehinge/ridgehinge/pkg/serving"
+)
+
+const (
+	// rankDelay is the additional time per rank, beyond configurationWatchers, that a node
+	// waits for its relay's data before it reads the store itself. While the relay is heard
+	// but has no data, the store is most likely unavailable to all. noRelayRankDelay applies
+	// while no relay is heard.
+	rankDelay        = 250 * time.Millisecond
+	noRelayRankDelay = 50 * time.Millisecond
+	// maxExtraDelay bounds the wait: this may be the only node that can reach the store.
+	maxExtraDelay = 8 * time.Second
+	// rankTimeout is how long after its start a node waits to be told its rank before it
+	// watches the configuration.
+	rankTimeout = time.Second
+	// firstStartWait is how long nodes wait for their controller to send the tables when the
+	// whole system starts for the first time, so that not every node reads them in full.
+	firstStartWait = 3 * time.Second
+	// configurationWatchers is the highest rank that watches the configuration even while it
+	// hears its relay, so that a crash of the relay delays no change.
+	configurationWatchers = 2
+	// maxStoreCallInterval is the longest usual time between a relay's calls to the store; a
+	// controller renews its lease more often.
+	maxStoreCallInterval = 700 * time.Millisecond
+	// rowsSlack is how much longer than the call interval a controller waits for rows from the
+	// one that reads them; it covers the interval between two reads.
+	rowsSlack = 500 * time.Millisecond
+	// relaySlack is how much longer than the call interval an exchange with a relay may take.
+	relaySlack = 300 * time.Millisecond
+)
+
+// Rank returns this node's rank, or zero until a relay has assigned one.
+func (g *Gossiper) Rank() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.rank
+}
+
+// WatchRole returns what this node reads from the store on behalf of others.
+func (g *Gossiper) WatchRole() directory.WatchRole {
+	now := time.Now()
+	controls := g.controls()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	relays := g.isRelay(controls, now)
+	relayNode := g.activeRelay(g.config.DataCentre, now)
+	role := directory.WatchRole{
+		Endpoints:     controls && g.readsEndpoints(now),
+		Configuration: g.watchesConfiguration(relays, now),
+		Wait:          g.config.FirstStart && !controls && now.Sub(g.startedAt) < firstStartWait,
+	}
+	perRank := noRelayRankDelay
+	if relayNode != nil {
+		perRank = rankDelay
+	}
+	role.ExtraDelay = min(maxExtraDelay, time.Duration(max(0, g.rank-configurationWatchers))*perRank)
+	if g.ranked && !role.Configuration {
+		role.Configuration = relayNode == nil || now.Sub(relayNode.storeSeen) > 2*g.callInterval(relays)+maxStoreCallInterval+relaySlack+role.ExtraDelay
+	}
+	return role
+}
+
+// watchesConfiguration reports whether this node watches the configuration for its data
+// centre; the caller holds the lock.
+func (g *Gossiper) watchesConfiguration(relays bool, now time.Time) bool {
+	if !g.ranked {
+		return now.Sub(g.startedAt) > rankTimeout
+	}
+	return relays || g.rank <= configurationWatchers
+}
+
+// readsEndpoints reports whether this node, a controller, reads the endpoint table at the full
+// rate; the caller holds the lock. Since calls to the store are billed, only the live controller
+// of the first data centre by name does. If its rows stop arriving, all others read as well, so
+// that draining notices still reach all nodes in time.
+func (g *Gossiper) readsEndpoints(now time.Time) bool {
+	if now.Sub(g.rowsReceived) > g.callInterval(true)+rowsSlack {
+		return true
+	}
+	return g.isFirstDataCentre(now)
+}
+
+// isFirstDataCentre reports whether no data centre before this one by name has a live controller
+// that this node hears; the caller holds the lock.
+func (g *Gossiper) isFirstDataCentre(now time.Time) bool {
+	for _, dc := range g.dataCentres() {
+		if dc >= g.config.DataCentre {
+			break
+		}
+		if g.controllerOf(dc, now) != nil {
+			return false
+		}
+	}
+	return true
+}
+
+// LogsEachChange reports whether this node logs each change of a data centre's endpoints, which
+// only their controller does.
+func (g *Gossiper) LogsEachChange(dataCentre serving.DataCentre) bool {
+	return dataCentre == g.config.DataCentre && g.controls()
+}
+
+// StoreAnswered records that the store has responded to this node.
+func (g *Gossiper) StoreAnswered(now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.storeSeen = now
+}
--- a/internal/gossip/suspension.go
+++ b/internal/gossip/suspension.go
@@ -6,18 +6,18 @@
 	"github.com/ridgehinge/ridgehinge/internal/clock"
 )
 
-// HandleSuspension backdates what peers and endpoints reported by the time for which the
-// machine was suspended.
+// HandleSuspension backdates the state of peers and endpoints by the time for which the machine
+// was suspended.
 func (g *Gossiper) HandleSuspension(duration time.Duration) {
 	g.throttle.HandleSuspension(duration)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
-		for _, at := range []*time.Time{&p.heard, &p.called, &p.failed, &p.toldRelay, &p.storeSeen, &p.behindSince} {
+		for _, at := range []*time.Time{&p.lastHeard, &p.lastCalled, &p.lastFailed, &p.namedRelayAt, &p.storeSeen, &p.rowsMissingSince} {
 			clock.Backdate(at, duration)
 		}
 	}
-	for _, at := range []*time.Time{&g.heardController, &g.storeSeen, &g.rowsHeard} {
+	for _, at := range []*time.Time{&g.controllerHeard, &g.storeSeen, &g.rowsReceived} {
 		clock.Backdate(at, duration)
 	}
 	g.dirty = true
