--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry puts together an entry instance whose endpoints keep their
-// own state in the platform's store.
+// Package entry assembles an entry instance whose endpoints keep their state in the platform's
+// store.
 package entry
 
 import (
@@ -33,35 +33,35 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Adapter is what an outside platform brings: its translations.
+// Adapter has the translations to and from a platform's protocol.
 type Adapter struct {
 	Wire  relay.Wire
 	Codec directory.Codec
-	// Store and Endpoints return clients that call through the HTTP client.
+	// Store returns a client of the store at an address that uses the HTTP client.
 	Store func(address string, client *http.Client) table.Store
-	// Endpoints has observe called with what the answers say of their endpoints.
+	// Endpoints returns a client of endpoints that uses the HTTP client, and calls observe with
+	// the advisories in their responses.
 	Endpoints func(client *http.Client, observe func(advisory.Observation)) groupcontrol.Endpoints
-	// ReadyPath is asked by the platform's balancer.
+	// ReadyPath is the path of the readiness check, called by the platform's balancer.
 	ReadyPath string
 }
 
 const (
-	// memoryShare is the part of the memory limit at which the collector
-	// works harder: stacks and buffers of the kernel's count as well.
-	memoryShare = 0.75
-	// gcPercent is lower than Go's own: memory is priced, and small.
-	gcPercent    = 100
-	housekeeping = time.Second
-	// idleTimeout is how long an unused connection is kept whose other end does not
-	// say how long it keeps it.
+	// memoryLimitFraction is the fraction of the memory limit that is given to the Go runtime;
+	// kernel buffers count towards the limit as well.
+	memoryLimitFraction = 0.75
+	gcPercent           = 100
+	cleanupInterval     = time.Second
+	// idleTimeout is how long an idle connection is kept if the server does not advertise a
+	// timeout.
 	idleTimeout = 4 * time.Second
-	// refreshPause is how late what the directory trusts for a time may go.
-	refreshPause = 200 * time.Millisecond
-	// lifeMark stands between a node's name and the mark of one life of it.
-	lifeMark = "/"
+	// refreshInterval is how late entries of the directory may expire.
+	refreshInterval = 200 * time.Millisecond
+	// incarnationSeparator separates a node's name from the id of one incarnation.
+	incarnationSeparator = "/"
 
-	smallRequests = 16
-	smallBody     = 64 << 10
+	maxInternalRequests = 16
+	maxInternalBody     = 64 << 10
 )
 
 // Entry is a running entry instance.
@@ -80,12 +80,12 @@
 	store      table.Store
 	tracker    *httpserver.Tracker
 	servers    []*httpserver.Server
-	peerSide   *peers.Server
+	peerServer *peers.Server
 	stopping   atomic.Bool
-	// suspended is for how long the machine was suspended in all when that was last noted.
-	suspended time.Duration
-	cancel    context.CancelFunc
-	// cancelControl ends the controller ahead of the rest.
+	// totalSuspended is the time for which the machine was suspended, at the last check.
+	totalSuspended time.Duration
+	cancel         context.CancelFunc
+	// cancelControl stops the controller before the rest.
 	cancelControl context.CancelFunc
 	controlDone   chan struct{}
 	running       sync.WaitGroup
@@ -94,9 +94,9 @@
 // Start starts an entry instance.
 func Start(s *Settings, a Adapter) (*Entry, error) {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	links := link.Bounds{Source: s.source(), Dial: link.DefaultDial, Silence: s.Silence}
-	life := s.Node + lifeMark + xid.New().String()
+	incarnation := s.Node + incarnationSeparator + xid.New().String()
 	e := &Entry{
 		settings:    s,
 		log:         logging.For("entry").With("node", s.Node),
@@ -109,11 +109,11 @@
 		controlDone: make(chan struct{}),
 	}
 	e.directory.SetReturnGrace(s.Policy.ReturnGrace)
-	store := &countedStore{Store: a.Store(s.Store, httpClient(links)), metrics: e.metrics}
+	store := &meteredStore{Store: a.Store(s.Store, httpClient(links)), metrics: e.metrics}
 	e.store = store
 	demand := relay.NewDemand()
 	e.budget = relay.NewBudget(s.RetryRatio, s.RetrySlack, s.RetryWindow, s.Nodes)
-	e.gossip = gossip.New(s.gossipConfig(life), gossip.Parts{
+	e.gossip = gossip.New(s.gossipConfig(incarnation), gossip.Parts{
 		Directory: e.directory,
 		Balancer:  e.balancer,
 		Demand:    demand,
@@ -137,41 +137,43 @@
 		StallAfter:  s.StallAfter,
 		MaxRequests: s.MaxRequests,
 	})
-	store.answered = e.gossip.StoreAnswered
+	store.onAnswer = e.gossip.StoreAnswered
 	e.controller = groupcontrol.New(groupcontrol.Options{
-		Node:                 life,
-		Address:              s.Peers,
-		DataCentre:           s.DataCentre,
-		DataCentres:          s.DataCentres,
-		Unpaced:              func() bool { return s.FirstStart && !e.relay.HasReceivedRequests() && !e.gossip.PeersHaveRequests() },
-		HolderAlive:          e.gossip.ControllerAlive,
-		OnHolderRead:         func(row lease.Row) { e.gossip.ObserveHolder(row, s.DataCentre) },
-		Rank:                 e.gossip.Rank,
-		FirstReadDelay:       s.firstLook(),
-		IsEarlierIncarnation: func(holder string) bool { return holder != life && strings.HasPrefix(holder, s.Node+lifeMark) },
+		Node:           incarnation,
+		Address:        s.Peers,
+		DataCentre:     s.DataCentre,
+		DataCentres:    s.DataCentres,
+		Unpaced:        func() bool { return s.FirstStart && !e.relay.HasReceivedRequests() && !e.gossip.PeersHaveRequests() },
+		HolderAlive:    e.gossip.ControllerAlive,
+		OnHolderRead:   func(row lease.Row) { e.gossip.ObserveHolder(row, s.DataCentre) },
+		Rank:           e.gossip.Rank,
+		FirstReadDelay: s.firstReadDelay(),
+		IsEarlierIncarnation: func(holder string) bool {
+			return holder != incarnation && strings.HasPrefix(holder, s.Node+incarnationSeparator)
+		},
 		Now:                  e.clock.Now,
 		Demand:               e.gossip.ControlDemand,
 		LastEvent:            e.lastEvent(),
 		Limit:                func(ep *serving.Endpoint) float64 { return e.gossip.Throttle().RateLimit(ep.Incarnation()).PerSecond },
 		Weights:              s.Policy.Groups,
 		LeaseTTL:             s.LeaseTTL,
-		LeaseOutageExtension: s.Policy.LeaseOutage,
+		LeaseOutageExtension: s.Policy.LeaseOutageExtension,
 		CallTimeout:          250 * time.Millisecond,
 		Tick:                 100 * time.Millisecond,
 		DrainWait:            2500 * time.Millisecond,
-	}, e.store, countedEndpoints{a.Endpoints(httpClient(links), e.observe), e.metrics}, e.directory, e.gossip.Suspects)
+	}, e.store, meteredEndpoints{a.Endpoints(httpClient(links), e.observe), e.metrics}, e.directory, e.gossip.Suspects)
 	e.gossip.SetController(e.controller)
 	e.directory.SetLogsEachChange(e.gossip.LogsEachChange)
 	if err := e.listen(a, links); err != nil {
 		return nil, err
 	}
 	e.run()
-	e.log.Info("started", "life", life, "first_start", s.FirstStart, "callers", s.Callers, "ready", s.Ready, "peers", s.Peers, "metrics", s.Metrics, "store", s.Store)
+	e.log.Info("started", "life", incarnation, "first_start", s.FirstStart, "callers", s.Callers, "ready", s.Ready, "peers", s.Peers, "metrics", s.Metrics, "store", s.Store)
 	return e, nil
 }
 
-// observe applies what the answer to a control call says of its endpoint. Answers that do not
-// tell their incarnation are of the one that is listed.
+// observe applies the advisories in the response to a control call. Responses without an
+// incarnation are attributed to the listed one.
 func (e *Entry) observe(o advisory.Observation) {
 	if o.Endpoint.StartedAt == 0 {
 		if listed := e.directory.View().Endpoints[o.Endpoint.ID]; listed != nil {
@@ -181,7 +183,8 @@
 	e.gossip.Throttle().Observe(o, time.Now())
 }
 
-// lastEvent returns what tells the controller which heads give events, or nil.
+// lastEvent returns a function that reports the time of an endpoint's last event, or nil if shared
+// events are disabled.
 func (e *Entry) lastEvent() func(serving.EndpointID) time.Time {
 	if !e.settings.Policy.Relay.SharedEvents {
 		return nil
@@ -189,7 +192,7 @@
 	return e.balancer.LastEvent
 }
 
-// httpClient returns a client for calls that carry no caller's request.
+// httpClient returns a client for control calls and store calls.
 func httpClient(links link.Bounds) *http.Client {
 	return &http.Client{Transport: link.Doubtful(&http.Transport{
 		DialContext:         links.Dialer().DialContext,
@@ -203,11 +206,11 @@
 	s := e.settings
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+a.ReadyPath, e.readyz)
-	figures := http.NewServeMux()
-	figures.Handle("GET /metrics", e.metrics.Handler())
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("GET /metrics", e.metrics.Handler())
 	for _, o := range []httpserver.Options{
-		{Address: s.Ready, MaxBody: smallBody, MaxRequests: smallRequests, Handler: ready},
-		{Address: s.Metrics, MaxBody: smallBody, MaxRequests: smallRequests, Handler: figures},
+		{Address: s.Ready, MaxBody: maxInternalBody, MaxRequests: maxInternalRequests, Handler: ready},
+		{Address: s.Metrics, MaxBody: maxInternalBody, MaxRequests: maxInternalRequests, Handler: metricsMux},
 		{Address: s.Callers, MaxBody: s.MaxBody, MaxRequests: 2 * s.MaxRequests, Handler: http.HandlerFunc(e.serve)},
 	} {
 		o.Link = links
@@ -218,7 +221,7 @@
 		e.servers = append(e.servers, server)
 	}
 	var err error
-	e.peerSide, err = peers.ListenShare(s.Peers, []byte(s.PeerKey), links, e.gossip)
+	e.peerServer, err = peers.ListenShare(s.Peers, []byte(s.PeerKey), links, e.gossip)
 	return err
 }
 
@@ -234,12 +237,12 @@
 		defer close(e.controlDone)
 		e.controller.Run(control)
 	})
-	e.running.Go(func() { clock.Every(ctx, housekeeping, e.keepHouse) })
-	e.running.Go(func() { clock.Every(ctx, refreshPause, e.refresh) })
+	e.running.Go(func() { clock.Every(ctx, cleanupInterval, e.cleanUp) })
+	e.running.Go(func() { clock.Every(ctx, refreshInterval, e.refresh) })
 }
 
-// keepHouse drops what is over.
-func (e *Entry) keepHouse(now time.Time) {
+// cleanUp drops expired state and updates the metrics.
+func (e *Entry) cleanUp(now time.Time) {
 	listed := e.directory.View().Endpoints
 	e.balancer.Forget(listed)
 	e.gossip.Throttle().Forget(listed, now)
@@ -247,13 +250,13 @@
 	e.reportState()
 }
 
-// refresh notes what depends on time alone.
+// refresh updates state that depends on time alone.
 func (e *Entry) refresh(now time.Time) {
-	e.noteSuspension()
+	e.handleSuspension()
 	e.directory.Refresh(now)
 }
 
-// reportState tells the metrics what this node knows.
+// reportState updates the gauges of this node's state.
 func (e *Entry) reportState() {
 	view := e.directory.View()
 	heads, incomplete := 0, 0
@@ -289,8 +292,7 @@
 	e.metrics.Set("controls", controls)
 }
 
-// ready reports whether this node can serve: it knows a configuration and
-// endpoints, and is not stopping.
+// ready reports whether this node has a configuration and endpoints, and is not stopping.
 func (e *Entry) ready() bool {
 	view := e.directory.View()
 	return view.Configuration != nil && len(view.Endpoints) > 0 && !e.stopping.Load()
@@ -304,7 +306,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serve hands a caller's request to the relay.
+// serve passes a caller's request to the relay.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(r)
 	if err != nil {
@@ -323,7 +325,7 @@
 	}, out)
 }
 
-// readBody reads a request's body; nbhttp has it whole already.
+// readBody reads a request's body, which nbhttp has already received completely.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.Body == nil || r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
 		return nil, nil
@@ -337,12 +339,12 @@
 	return version
 }
 
-// Reload reads the settings anew. What can change while the process runs is
-// taken over; settings that cannot be read leave all as it was.
+// Reload reads the settings again and applies the log level and the seeds. Invalid settings change
+// nothing.
 func (e *Entry) Reload(path string) {
 	s, err := Load(path)
 	if err != nil {
-		e.log.Error("the settings were not reloaded; the last ones stay in force", "file", path, "error", err)
+		e.log.Error("failed to reload the settings; keeping the current ones", "file", path, "error", err)
 		return
 	}
 	logging.SetLevel(s.LogLevel)
@@ -350,9 +352,8 @@
 	e.log.Info("reloaded the settings", "file", path, "seeds", s.Seeds, "level", s.LogLevel.String())
 }
 
-// Stop is a planned stop: readiness goes off, requests are taken a little
-// longer, idle connections are closed, and requests in progress are finished
-// within the bound.
+// Stop shuts down gracefully: it fails the readiness check, keeps accepting requests for
+// StopNotice, then closes idle connections and finishes requests in flight until StopBound.
 func (e *Entry) Stop() {
 	e.log.Info("stopping", "in_progress", e.relay.InFlight())
 	began := time.Now()
@@ -365,20 +366,19 @@
 	e.gossip.AnnounceStop(release)
 	cancel()
 	time.Sleep(time.Until(began.Add(e.settings.StopNotice)))
-	// Callers may still be led here, while few other nodes are ready. What
-	// they send now could be cut off by the end of the process.
+	// The balancer may still route callers here while few other nodes are ready. From now on
+	// their requests could be interrupted by the end of the process.
 	e.relay.Drain()
 	callers := e.servers[len(e.servers)-1]
 	for callers.CloseIdle() > 0 && time.Since(began) < e.settings.StopBound {
-		time.Sleep(drainPause)
+		time.Sleep(drainPollInterval)
 	}
 	e.log.Info("stopped", "in_progress", e.relay.InFlight(), "took", time.Since(began))
 	e.close()
 }
 
-// drainPause is the time between two looks at the connections of a stopping
-// node.
-const drainPause = 20 * time.Millisecond
+// drainPollInterval is the time between two checks of a stopping node's connections.
+const drainPollInterval = 20 * time.Millisecond
 
 func (e *Entry) close() {
 	e.cancel()
@@ -386,7 +386,7 @@
 	for _, server := range e.servers {
 		server.Stop()
 	}
-	e.peerSide.Close()
+	e.peerServer.Close()
 	e.running.Wait()
 	e.upstream.Close()
 	e.metrics.Close()
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -11,30 +11,30 @@
 	"github.com/ridgehinge/ridgehinge/pkg/health"
 )
 
-// Policy has the switches of how the system decides. Each can be turned off by
-// itself, so that what it is worth can be measured (docs/DECISIONS.md).
+// Policy has the settings of the system's decisions. Each mechanism can be turned off by itself,
+// so that its effect can be measured.
 type Policy struct {
-	// LeaseOutage is how long a controller goes on past its lease while the
-	// store does not answer it; zero turns it off.
-	LeaseOutage time.Duration
-	// ReturnGrace is for how long after an outage of the store endpoints count as
-	// listed whose rows went in it; zero turns it off.
+	// LeaseOutageExtension is how long a controller acts past the expiry of its lease while the
+	// store is unavailable; zero turns it off.
+	LeaseOutageExtension time.Duration
+	// ReturnGrace is how long after a store outage endpoints count as listed whose rows were
+	// removed during the outage; zero turns it off.
 	ReturnGrace time.Duration
-	// Groups decides which groups are worth forming.
+	// Groups has the weights for forming replica groups.
 	Groups groupcontrol.Weights
-	// Relay decides how requests are spread and turned away.
+	// Relay has the weights for distributing and rejecting requests.
 	Relay relay.Weights
-	// EndpointPause is the time between two reads of the endpoint table by the
-	// node that reads it for its data centre; RelyOnPeers is how long the others
-	// wait for news of it before they read it themselves.
+	// EndpointPause is the time between two reads of the endpoint table by the node that reads
+	// it for its data centre; RelyOnPeers is how long the others wait for its rows before they
+	// read the table themselves.
 	EndpointPause time.Duration
 	RelyOnPeers   time.Duration
-	// ShareNodes is up to how many nodes call a relay as often as they can; more call
-	// it more seldom.
-	ShareNodes int
+	// FullRateNodes is the number of nodes up to which they call a relay at the full rate; with
+	// more, each calls less often.
+	FullRateNodes int
 }
 
-// watchOptions are those of following the store's tables.
+// watchOptions returns the options for watching the store's tables.
 func (p Policy) watchOptions() directory.WatchOptions {
 	o := directory.DefaultWatchOptions()
 	o.EndpointPause = p.EndpointPause
@@ -42,16 +42,15 @@
 	return o
 }
 
-// defaultLeaseOutage is longer than the outages of the store that were met so far,
-// of up to nine seconds.
-const defaultLeaseOutage = 30 * time.Second
+// defaultLeaseOutageExtension is longer than usual outages of the store.
+const defaultLeaseOutageExtension = 30 * time.Second
 
 func readPolicy(p *inicheck.Section) Policy {
-	const least, most = 10 * time.Millisecond, time.Minute
+	const minDuration, maxDuration = 10 * time.Millisecond, time.Minute
 	watch := directory.DefaultWatchOptions()
 	return Policy{
-		LeaseOutage: p.Duration("lease_outage", defaultLeaseOutage, 0, time.Hour),
-		ReturnGrace: p.Duration("return_grace", directory.DefaultReturnGrace, 0, time.Minute),
+		LeaseOutageExtension: p.Duration("lease_outage", defaultLeaseOutageExtension, 0, time.Hour),
+		ReturnGrace:          p.Duration("return_grace", directory.DefaultReturnGrace, 0, time.Minute),
 		Groups: groupcontrol.Weights{
 			Demand:             p.Float("demand_weight", groupcontrol.DefaultWeights.Demand, 0, 1),
 			Headroom:           p.Float("headroom", groupcontrol.DefaultWeights.Headroom, 1, 10),
@@ -66,27 +65,27 @@
 			SecondModels:  p.Bool("second_models", groupcontrol.DefaultWeights.SecondModels),
 		},
 		Relay: relay.Weights{
-			RemotePenalty:      p.Duration("remote_penalty", relay.DefaultWeights.RemotePenalty, 0, most),
+			RemotePenalty:      p.Duration("remote_penalty", relay.DefaultWeights.RemotePenalty, 0, maxDuration),
 			DrawPower:          p.Float("draw_power", relay.DefaultWeights.DrawPower, 0, 100),
 			LateFactor:         p.Float("late_factor", relay.DefaultWeights.LateFactor, 0.1, 100),
-			OverloadRetryAfter: p.Duration("overload_return", relay.DefaultWeights.OverloadRetryAfter, least, most),
+			OverloadRetryAfter: p.Duration("overload_return", relay.DefaultWeights.OverloadRetryAfter, minDuration, maxDuration),
 			SkipUnreachable:    p.Bool("cut_off", relay.DefaultWeights.SkipUnreachable),
 			Failures:           readFailures(p),
 			ObservedPace:       p.Bool("observed_pace", relay.DefaultWeights.ObservedPace),
 			SharedEvents:       p.Bool("shared_events", relay.DefaultWeights.SharedEvents),
 		},
-		EndpointPause: p.Duration("endpoint_pause", watch.EndpointPause, least, most),
-		RelyOnPeers:   p.Duration("rely_on_peers", watch.RelyOnPeers, least, most),
-		ShareNodes:    p.Int("share_nodes", gossip.DefaultFullRateNodes, 1, 10_000),
+		EndpointPause: p.Duration("endpoint_pause", watch.EndpointPause, minDuration, maxDuration),
+		RelyOnPeers:   p.Duration("rely_on_peers", watch.RelyOnPeers, minDuration, maxDuration),
+		FullRateNodes: p.Int("share_nodes", gossip.DefaultFullRateNodes, 1, 10_000),
 	}
 }
 
-// readFailures reads what an endpoint's failures do to the choice of it.
+// readFailures reads the policy for choosing endpoints by their failures.
 func readFailures(p *inicheck.Section) health.FailurePolicy {
 	name := p.OneOf("failures", relay.DefaultWeights.Failures.String(), health.PolicyNames()...)
 	policy, err := health.ParsePolicy(name)
 	if err != nil {
-		// The section has noted the mistake already.
+		// OneOf has already recorded the error.
 		return relay.DefaultWeights.Failures
 	}
 	return policy
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -15,15 +15,14 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// Settings of one entry instance whose endpoints keep their state in the
-// platform's store.
+// Settings configure an entry instance.
 type Settings struct {
 	Node        string
 	DataCentre  serving.DataCentre
 	DataCentres int
-	// DataCentreNames are all of them.
+	// DataCentreNames has the names of all data centres.
 	DataCentreNames []serving.DataCentre
-	// Cores is the part of a processor that the process may use.
+	// Cores is the number of processor cores that the process may use.
 	Cores float64
 	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool
@@ -41,30 +40,30 @@
 	MemoryBytes int64
 	MaxBody     int
 	MaxRequests int
-	// RetryRatio, RetrySlack and RetryWindow bound repeats over all nodes.
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget of all nodes.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Nodes is how many nodes share the slack until more are heard of.
+	// Nodes is the minimum number of nodes that share the retry budget's slack.
 	Nodes      int
 	StallAfter time.Duration
-	// Silence is how long a connection may say nothing before it counts as broken.
+	// Silence is how long a connection may receive nothing before it counts as broken.
 	Silence  time.Duration
 	LeaseTTL time.Duration
-	// StopNotice is how long a stopping node goes on taking requests,
-	// StopBound bounds the whole stop.
+	// StopNotice is how long a stopping node keeps accepting requests, StopBound bounds the
+	// graceful shutdown.
 	StopNotice time.Duration
 	StopBound  time.Duration
 	LogLevel   slog.Level
-	// SuspensionFile makes tests of suspended machines: see clock.Emulated. Empty for
-	// the machine's own clock.
+	// SuspensionFile emulates a suspended machine in tests, see clock.Emulated. If empty, the
+	// machine's own clock is used.
 	SuspensionFile string
 	Policy         Policy
 }
 
 // Bounds and defaults.
 const (
-	minKey             = 16
+	minKeyLength       = 16
 	defaultMaxBody     = 4<<20 + 64<<10
 	maxMaxBody         = 64 << 20
 	defaultMaxRequests = 1024
@@ -74,19 +73,19 @@
 	maxCores           = 1024
 )
 
-// interfaceSection and interfaceKind mark settings that this package reads.
+// interfaceSection and interfaceKind identify settings for this package.
 const (
 	interfaceSection = "interface"
 	interfaceKind    = "platform"
 )
 
-// IsFor reports whether settings ask for the platform's interface.
+// IsFor reports whether settings select the platform's interface.
 func IsFor(text []byte) bool {
 	f := inicheck.Parse("", text)
 	return f.Section(interfaceSection).String("kind", "") == interfaceKind
 }
 
-// Load reads a file.
+// Load reads settings from a file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +94,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads settings. The error holds every mistake of the text.
+// Parse parses settings. The error lists every mistake.
 func Parse(file string, text []byte) (*Settings, error) {
 	f := inicheck.Parse(file, text)
 	s := &Settings{}
@@ -117,11 +116,11 @@
 	s.readLimits(f.Section("limits"))
 	s.readRetries(f.Section("retries"))
 	timing := f.Section("timing")
-	const least, most = 50 * time.Millisecond, time.Minute
-	s.StallAfter = timing.Duration("stall_after", 500*time.Millisecond, least, most)
-	s.Silence = timing.Duration("silence", link.DefaultSilence, time.Second, most)
-	s.LeaseTTL = timing.Duration("lease_ttl", 2*time.Second, 300*time.Millisecond, most)
-	s.StopNotice = timing.Duration("stop_notice", 3*time.Second, 0, most)
+	const minDuration, maxDuration = 50 * time.Millisecond, time.Minute
+	s.StallAfter = timing.Duration("stall_after", 500*time.Millisecond, minDuration, maxDuration)
+	s.Silence = timing.Duration("silence", link.DefaultSilence, time.Second, maxDuration)
+	s.LeaseTTL = timing.Duration("lease_ttl", 2*time.Second, 300*time.Millisecond, maxDuration)
+	s.StopNotice = timing.Duration("stop_notice", 3*time.Second, 0, maxDuration)
 	s.StopBound = timing.Duration("stop_bound", 7*time.Second, 0, time.Hour)
 	s.LogLevel = readLevel(f.Section("log"))
 	s.SuspensionFile = f.Section("tests").String("suspension_file", "")
@@ -136,7 +135,7 @@
 func (s *Settings) readPeers(p *inicheck.Section) {
 	const allowed = "a secret of 16 characters or more"
 	s.PeerKey = p.Required("key", allowed)
-	if s.PeerKey != "" && len(s.PeerKey) < minKey {
+	if s.PeerKey != "" && len(s.PeerKey) < minKeyLength {
 		p.Reject("key", "(hidden)", allowed)
 	}
 	s.Seeds = p.List("seeds")
@@ -173,21 +172,19 @@
 	return slog.LevelInfo
 }
 
-// firstLookUnit divided by its cores is how long a node waits before it first looks at
-// the lease, so that of nodes that start together the one that takes it is one of the
-// fastest: 0.12 s with 0.8 of a core, 0.5 s with 0.2.
-const firstLookUnit = 100 * time.Millisecond
+// firstReadDelayOneCore is how long a node with one core waits before it first reads the lease. It
+// is divided by the cores: of nodes that start together, one with many cores acquires the lease.
+const firstReadDelayOneCore = 100 * time.Millisecond
 
-// firstLookMost bounds that wait.
-const firstLookMost = 600 * time.Millisecond
+const maxFirstReadDelay = 600 * time.Millisecond
 
-// firstLook is how long this node waits before it first looks at the lease.
-func (s *Settings) firstLook() time.Duration {
-	return min(firstLookMost, time.Duration(float64(firstLookUnit)/s.Cores))
+// firstReadDelay returns how long this node waits before it first reads the lease.
+func (s *Settings) firstReadDelay() time.Duration {
+	return min(maxFirstReadDelay, time.Duration(float64(firstReadDelayOneCore)/s.Cores))
 }
 
-// source returns the address that connections leave from: that of the peers'
-// listener, so that a firewall can tell the nodes apart.
+// source returns the source address of outgoing connections: the IP address of the peer
+// listener, so that a firewall can identify the node.
 func (s *Settings) source() net.Addr {
 	address, err := netip.ParseAddrPort(s.Peers)
 	if err != nil || address.Addr().IsUnspecified() {
@@ -196,8 +193,7 @@
 	return net.TCPAddrFromAddrPort(netip.AddrPortFrom(address.Addr(), 0))
 }
 
-// gossipConfig is what the exchange between nodes takes of the settings, for one incarnation
-// of the node.
+// gossipConfig returns the configuration of the Gossiper for one incarnation of the node.
 func (s *Settings) gossipConfig(incarnation string) gossip.Config {
 	return gossip.Config{
 		Incarnation:     incarnation,
@@ -210,6 +206,6 @@
 		Nodes:           s.Nodes,
 		FirstStart:      s.FirstStart,
 		RetryWindow:     s.RetryWindow,
-		FullRateNodes:   s.Policy.ShareNodes,
+		FullRateNodes:   s.Policy.FullRateNodes,
 	}
 }
--- a/internal/entry/settings_test.go
+++ b/internal/entry/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/health"
 )
 
-// minimal are settings with what must be given.
+// minimal has only the required settings.
 const minimal = `
 [interface]
 kind = platform
@@ -32,16 +32,16 @@
 [policy]
 `
 
-func TestEachMechanismHasASwitch(t *testing.T) {
+func TestParse_PolicySettings(t *testing.T) {
 	s, err := Parse("entry.ini", []byte(minimal))
 	require.NoError(t, err)
 	require.Equal(t, groupcontrol.DefaultWeights, s.Policy.Groups)
 	require.Equal(t, relay.DefaultWeights, s.Policy.Relay)
-	require.Equal(t, defaultLeaseOutage, s.Policy.LeaseOutage)
+	require.Equal(t, defaultLeaseOutageExtension, s.Policy.LeaseOutageExtension)
 
 	s, err = Parse("entry.ini", []byte(minimal+"lease_outage = 0s\nheadroom = 2\ncut_off = no\nendpoint_pause = 1s\n"))
 	require.NoError(t, err)
-	require.Zero(t, s.Policy.LeaseOutage)
+	require.Zero(t, s.Policy.LeaseOutageExtension)
 	require.InDelta(t, 2, s.Policy.Groups.Headroom, 0)
 	require.False(t, s.Policy.Relay.SkipUnreachable)
 	require.Equal(t, time.Second, s.Policy.watchOptions().EndpointPause)
@@ -52,10 +52,10 @@
 	require.False(t, s.Policy.Relay.SharedEvents)
 	require.False(t, s.Policy.Relay.ObservedPace)
 	require.False(t, s.Policy.Groups.CorrectForLateness)
-	require.Equal(t, 4, s.Policy.ShareNodes)
+	require.Equal(t, 4, s.Policy.FullRateNodes)
 }
 
-func TestTheBoundOfSilenceIsASetting(t *testing.T) {
+func TestParse_SilenceSetting(t *testing.T) {
 	s, err := Parse("entry.ini", []byte(minimal))
 	require.NoError(t, err)
 	require.Equal(t, link.DefaultSilence, s.Silence)
@@ -66,7 +66,7 @@
 	require.ErrorContains(t, err, "silence")
 }
 
-func TestPoliciesOutOfRangeAreRefused(t *testing.T) {
+func TestParse_RejectsInvalidPolicy(t *testing.T) {
 	for _, wrong := range []string{"headroom = 0.5", "headroom = many", "home_weight = 2", "takeover_gain = -1", "late_factor = 0", "overload_return = 0s", "across_domains = maybe", "lease_outage = 2h", "headrom = 2", "failures = sometimes", "shared_events = perhaps", "observed_pace = 2", "corrected_demand = 0.5", "share_nodes = 0"} {
 		t.Run(wrong, func(t *testing.T) {
 			_, err := Parse("entry.ini", []byte(minimal+wrong))
--- a/internal/entry/suspension.go
+++ b/internal/entry/suspension.go
@@ -12,16 +12,16 @@
 	return clock.New()
 }
 
-// noteSuspension has what was dated by the monotonic clock count as older by the time for
-// which the machine was suspended since the last look. The lease asks its clock itself.
-func (e *Entry) noteSuspension() {
-	suspended := e.clock.Refresh()
-	since := suspended - e.suspended
+// handleSuspension backdates times of the monotonic clock by the time for which the machine was
+// suspended since the last check. The lease uses its clock directly.
+func (e *Entry) handleSuspension() {
+	totalSuspended := e.clock.Refresh()
+	since := totalSuspended - e.totalSuspended
 	if since <= 0 {
 		return
 	}
-	e.suspended = suspended
+	e.totalSuspended = totalSuspended
 	e.directory.HandleSuspension(since)
 	e.gossip.HandleSuspension(since)
-	e.metrics.Set("suspended_seconds", suspended.Seconds())
+	e.metrics.Set("suspended_seconds", totalSuspended.Seconds())
 }
--- a/internal/peers/auth.go
+++ b/internal/peers/auth.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ErrWrongKey means that the other side does not know the shared key.
+// ErrWrongKey means that the peer failed to prove knowledge of the shared key.
 var ErrWrongKey = errors.New("the peer does not know the shared key")
 
 const (
@@ -20,8 +20,8 @@
 	serverLabel      = "server"
 )
 
-// proof shows knowledge of the key for one pair of nonces. The label keeps
-// one side's proof from being played back as the other's.
+// proof returns a MAC of both nonces. The label prevents reflection of one side's proof as the
+// other's.
 func proof(key []byte, label string, client, server []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(label))
@@ -30,8 +30,7 @@
 	return mac.Sum(nil)
 }
 
-// handshakeClient proves the shared key to the other side and checks that
-// the other side knows it as well, before the first message.
+// handshakeClient performs mutual authentication by the shared key, before the first message.
 func handshakeClient(conn net.Conn, key []byte) error {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
@@ -50,7 +49,7 @@
 	return readProof(conn, proof(key, serverLabel, mine, theirs))
 }
 
-// handshakeServer is the other end of handshakeClient.
+// handshakeServer is the server side of handshakeClient.
 func handshakeServer(conn net.Conn, key []byte) error {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = conn.SetDeadline(time.Time{}) }()
--- a/internal/peers/convert.go
+++ b/internal/peers/convert.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// HeartbeatToWire converts a heartbeat to its message.
+// HeartbeatToWire encodes a heartbeat.
 func HeartbeatToWire(b membership.Heartbeat) *peerpb.Beat {
 	out := &peerpb.Beat{
 		From:                  nodeToWire(b.From),
@@ -81,7 +81,7 @@
 	return out
 }
 
-// HeartbeatFromWire converts a message to a heartbeat.
+// HeartbeatFromWire decodes a heartbeat.
 func HeartbeatFromWire(m *peerpb.Beat) membership.Heartbeat {
 	out := membership.Heartbeat{
 		From:                  nodeFromWire(m.GetFrom()),
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,8 +1,7 @@
-// Package peers carries the messages between entry instances, over drpc.
+// Package peers carries the messages between entry instances over drpc.
 //
-// Each connection starts with a proof of the shared key by both sides. A
-// drpc connection runs one call at a time, so a peer has one connection for
-// exchanges, and each forwarded request has one of its own.
+// Each connection starts with mutual authentication by a shared key. A drpc connection runs one
+// call at a time: exchanges reuse idle connections, and each forwarded request has its own.
 package peers
 
 import (
@@ -25,10 +24,10 @@
 	"github.com/ridgehinge/ridgehinge/internal/peers/peerpb"
 )
 
-// ErrUnreachable means that a peer gave no answer.
+// ErrUnreachable means that a call to a peer failed.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// MaxMessage bounds one message; a forwarded body must fit.
+// MaxMessage bounds a message in bytes, including the body of a forwarded request.
 const MaxMessage = 16 << 20
 
 func managerOptions() drpcmanager.Options {
@@ -38,11 +37,11 @@
 // Message is one side of an exchange.
 type Message = peerpb.ExchangeMessage
 
-// Handler answers peers' calls.
+// Handler serves peers' calls.
 type Handler interface {
-	// Exchange takes a peer's message and returns this node's.
+	// Exchange receives a peer's message and returns this node's.
 	Exchange(ctx context.Context, m *Message) (*Message, error)
-	// Forward runs a request and sends its answer in events.
+	// Forward runs a request and streams the response as events.
 	Forward(q *peerpb.ForwardRequest, out peerpb.DRPCPeers_ForwardStream) error
 }
 
@@ -63,7 +62,7 @@
 	return start(address, key, bounds, func(mux drpc.Mux) error { return peerpb.DRPCRegisterPeers(mux, h) })
 }
 
-// start starts a server for the services that are registered.
+// start starts a server for the registered services.
 func start(address string, key []byte, bounds link.Bounds, register func(drpc.Mux) error) (*Server, error) {
 	listener, err := bounds.Listen("tcp", address)
 	if err != nil {
@@ -91,10 +90,10 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Bytes returns the counter of the accepted connections.
+// Bytes returns the byte counter of the accepted connections.
 func (s *Server) Bytes() *bytecount.Counter { return s.counts }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
@@ -148,22 +147,22 @@
 	link   link.Bounds
 	counts *bytecount.Counter
 	mu     sync.Mutex
-	// idle has the connections to each address that no call runs on.
+	// idle has the unused connections to each address.
 	idle map[string][]*drpcconn.Conn
 }
 
-// mostIdle is how many connections to one peer are kept that no call runs on.
-const mostIdle = 2
+// maxIdleConns bounds the idle connections to one peer.
+const maxIdleConns = 2
 
-// NewClient returns a client; it opens no connection yet.
+// NewClient returns a client without connections.
 func NewClient(key []byte, bounds link.Bounds) *Client {
 	return &Client{key: key, link: bounds, counts: &bytecount.Counter{}, idle: map[string][]*drpcconn.Conn{}}
 }
 
-// Bytes returns the counter of the opened connections.
+// Bytes returns the byte counter of the dialed connections.
 func (c *Client) Bytes() *bytecount.Counter { return c.counts }
 
-// Close ends the connections that exchanges use.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,20 +177,20 @@
 func (c *Client) dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	raw, err := c.link.Dialer().DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, turn(err)
+		return nil, wrapUnreachable(err)
 	}
 	if err := handshakeClient(raw, c.key); err != nil {
 		_ = raw.Close()
-		return nil, turn(err)
+		return nil, wrapUnreachable(err)
 	}
 	return drpcconn.NewWithOptions(c.counts.Conn(raw), drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-func turn(err error) error {
+func wrapUnreachable(err error) error {
 	return oops.In("peers").Wrap(errors.Join(ErrUnreachable, err))
 }
 
-func (c *Client) take(address string) *drpcconn.Conn {
+func (c *Client) takeIdle(address string) *drpcconn.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conns := c.idle[address]
@@ -203,50 +202,49 @@
 	return conns[last]
 }
 
-func (c *Client) put(address string, conn *drpcconn.Conn) {
+func (c *Client) putIdle(address string, conn *drpcconn.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[address]) >= mostIdle {
+	if len(c.idle[address]) >= maxIdleConns {
 		_ = conn.Close()
 		return
 	}
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// largeExchange is the size of an exchange, in bytes, after which its
-// connection is not used again.
-const largeExchange = 8 << 10
+// maxReusedExchangeBytes is the size of an exchange above which its connection is not reused.
+const maxReusedExchangeBytes = 8 << 10
 
-// Exchange swaps messages with the peer at an address. The caller runs at
-// most one exchange with a peer at a time.
+// Exchange exchanges messages with the peer at an address. The caller runs at most one exchange
+// with a peer at a time.
 func (c *Client) Exchange(ctx context.Context, address string, m *Message) (*Message, error) {
-	return swap(ctx, c, address, m, func(conn *drpcconn.Conn) (*Message, error) {
+	return exchange(ctx, c, address, m, func(conn *drpcconn.Conn) (*Message, error) {
 		return peerpb.NewDRPCPeersClient(conn).Exchange(ctx, m)
 	})
 }
 
-// swap runs one exchange on a kept connection.
-func swap[M, A proto.Message](ctx context.Context, c *Client, address string, m M, call func(*drpcconn.Conn) (A, error)) (A, error) {
-	var none A
-	conn := c.take(address)
+// exchange runs a call on an idle connection, or on a new one if there is none.
+func exchange[M, A proto.Message](ctx context.Context, c *Client, address string, m M, call func(*drpcconn.Conn) (A, error)) (A, error) {
+	var zero A
+	conn := c.takeIdle(address)
 	if conn == nil || isClosed(conn) {
 		var err error
 		if conn, err = c.dial(ctx, address); err != nil {
-			return none, err
+			return zero, err
 		}
 	}
 	answer, err := call(conn)
 	if err != nil {
 		_ = conn.Close()
-		return none, turn(err)
+		return zero, wrapUnreachable(err)
 	}
-	if proto.Size(m)+proto.Size(answer) > largeExchange {
-		// Both ends keep buffers of the largest message on a connection. The
-		// first exchanges of a peer are a thousand times larger than the rest.
+	if proto.Size(m)+proto.Size(answer) > maxReusedExchangeBytes {
+		// Both ends keep buffers of the size of a connection's largest message, and the first
+		// exchanges with a peer are far larger than the rest.
 		_ = conn.Close()
 		return answer, nil
 	}
-	c.put(address, conn)
+	c.putIdle(address, conn)
 	return answer, nil
 }
 
@@ -259,14 +257,14 @@
 	}
 }
 
-// Forwarded is an answer that is being received from a peer.
+// Forwarded is a response that is being streamed from a peer.
 type Forwarded struct {
 	stream peerpb.DRPCPeers_ForwardClient
 	conn   *drpcconn.Conn
 }
 
-// Forward sends a request to the peer at an address. An error says that the
-// request did not leave this node.
+// Forward sends a request to the peer at an address. An error means that no part of the request
+// was sent.
 func (c *Client) Forward(ctx context.Context, address string, q *peerpb.ForwardRequest) (*Forwarded, error) {
 	conn, err := c.dial(ctx, address)
 	if err != nil {
@@ -274,23 +272,23 @@
 	}
 	stream, err := peerpb.NewDRPCPeersClient(conn).Forward(ctx, q)
 	if err != nil {
-		// Bytes of the request may have left with this connection.
+		// Part of the request may have been sent; Read fails.
 		return &Forwarded{conn: conn}, nil
 	}
 	return &Forwarded{stream: stream, conn: conn}, nil
 }
 
-// Read returns the next event of the answer.
+// Read returns the next event of the response.
 func (f *Forwarded) Read() (*peerpb.ForwardEvent, error) {
 	if f.stream == nil {
 		return nil, oops.In("peers").Wrap(ErrUnreachable)
 	}
 	event, err := f.stream.Recv()
 	if err != nil {
-		return nil, turn(err)
+		return nil, wrapUnreachable(err)
 	}
 	return event, nil
 }
 
-// Close ends the request if it still runs.
+// Close closes the connection, which cancels the request if it is in flight.
 func (f *Forwarded) Close() { _ = f.conn.Close() }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,7 +19,7 @@
 
 var key = []byte("0123456789abcdef")
 
-// echo answers an exchange with the question, and a forward with its body.
+// echo returns exchanged messages unchanged, and forwarded bodies byte by byte.
 type echo struct{}
 
 func (echo) Exchange(_ context.Context, m *Message) (*Message, error) { return m, nil }
@@ -45,7 +45,7 @@
 	s := listen(t)
 	c := NewClient(key, link.New(nil))
 	defer c.Close()
-	beat := membership.Heartbeat{
+	heartbeat := membership.Heartbeat{
 		From:        membership.Node{ID: "n", DataCentre: "dc", Address: "a"},
 		Incarnation: 7, Stamp: time.Second, Echo: 2, EchoFor: 3, OldestAge: 4, Since: 5, Seq: 6, Ack: 8,
 		Leaving: true, ConfigurationRevision: 10, GroupsRevision: 11,
@@ -54,9 +54,9 @@
 		Known:   []membership.Node{{ID: "m"}},
 	}
 	for range 3 {
-		answer, err := c.Exchange(context.Background(), s.Address(), &Message{Beat: HeartbeatToWire(beat)})
+		answer, err := c.Exchange(context.Background(), s.Address(), &Message{Beat: HeartbeatToWire(heartbeat)})
 		require.NoError(t, err)
-		assert.Equal(t, beat, HeartbeatFromWire(answer.GetBeat()))
+		assert.Equal(t, heartbeat, HeartbeatFromWire(answer.GetBeat()))
 	}
 }
 
@@ -85,5 +85,5 @@
 	_, err := c.Exchange(context.Background(), s.Address(), &Message{})
 	assert.ErrorIs(t, err, ErrUnreachable)
 	_, err = c.Forward(context.Background(), s.Address(), &peerpb.ForwardRequest{})
-	assert.ErrorIs(t, err, ErrUnreachable, "a request must not leave to a peer without the key")
+	assert.ErrorIs(t, err, ErrUnreachable, "a request must not be sent to a peer without the key")
 }
--- a/internal/peers/share.go
+++ b/internal/peers/share.go
@@ -13,12 +13,12 @@
 // ShareMessage is one side of a Share call.
 type ShareMessage = sharepb.ShareMessage
 
-// ShareHandler answers peers' Share calls.
+// ShareHandler serves peers' Share calls.
 type ShareHandler interface {
-	// Share takes a peer's message and returns this node's.
+	// Share receives a peer's message and returns this node's.
 	Share(ctx context.Context, m *ShareMessage) (*ShareMessage, error)
-	// AcquirePermit allocates a permit at an endpoint that limits how much it takes, or passes the
-	// request on to the node that does.
+	// AcquirePermit allocates a permit for a rate-limited endpoint, or forwards the request
+	// towards the allocator.
 	AcquirePermit(ctx context.Context, q *sharepb.PermitRequest) (*sharepb.PermitAnswer, error)
 }
 
@@ -27,17 +27,17 @@
 	return start(address, key, bounds, func(mux drpc.Mux) error { return sharepb.DRPCRegisterSharing(mux, h) })
 }
 
-// Share swaps messages with the peer at an address. The caller runs at most
-// one call with a peer at a time.
+// Share exchanges messages with the peer at an address. The caller runs at most one such call
+// with a peer at a time.
 func (c *Client) Share(ctx context.Context, address string, m *ShareMessage) (*ShareMessage, error) {
-	return swap(ctx, c, address, m, func(conn *drpcconn.Conn) (*ShareMessage, error) {
+	return exchange(ctx, c, address, m, func(conn *drpcconn.Conn) (*ShareMessage, error) {
 		return sharepb.NewDRPCSharingClient(conn).Share(ctx, m)
 	})
 }
 
-// AcquirePermit asks the peer at an address for a permit. Calls may run beside each other.
+// AcquirePermit requests a permit from the peer at an address. Calls may run concurrently.
 func (c *Client) AcquirePermit(ctx context.Context, address string, q *sharepb.PermitRequest) (*sharepb.PermitAnswer, error) {
-	return swap(ctx, c, address, q, func(conn *drpcconn.Conn) (*sharepb.PermitAnswer, error) {
+	return exchange(ctx, c, address, q, func(conn *drpcconn.Conn) (*sharepb.PermitAnswer, error) {
 		return sharepb.NewDRPCSharingClient(conn).AcquirePermit(ctx, q)
 	})
 }
--- a/internal/peers/share_bench_test.go
+++ b/internal/peers/share_bench_test.go
@@ -17,8 +17,7 @@
 	return &sharepb.PermitAnswer{Granted: true, Advisory: q.GetAdvisory()}, nil
 }
 
-// What a request for a permit at a limited endpoint costs both nodes together, on loopback and
-// on a kept connection. Before there were limits a request cost none.
+// BenchmarkAcquirePermit measures a permit request over loopback on a reused connection.
 func BenchmarkAcquirePermit(b *testing.B) {
 	server, err := ListenShare("127.0.0.1:0", []byte("a key of the benchmark"), link.New(nil), allocator{})
 	if err != nil {
