--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -356,7 +356,7 @@
 // StopNotice, then closes idle connections and finishes requests in flight until StopBound.
 func (e *Entry) Stop() {
 	e.log.Info("stopping", "in_progress", e.relay.InFlight())
-	began := time.Now()
+	start := time.Now()
 	e.stopping.Store(true)
 	e.relay.CloseConnections()
 	e.cancelControl()
@@ -365,15 +365,15 @@
 	e.controller.Release(release)
 	e.gossip.AnnounceStop(release)
 	cancel()
-	time.Sleep(time.Until(began.Add(e.settings.StopNotice)))
+	time.Sleep(time.Until(start.Add(e.settings.StopNotice)))
 	// The balancer may still route callers here while few other nodes are ready. From now on
 	// their requests could be interrupted by the end of the process.
 	e.relay.Drain()
 	callers := e.servers[len(e.servers)-1]
-	for callers.CloseIdle() > 0 && time.Since(began) < e.settings.StopBound {
+	for callers.CloseIdle() > 0 && time.Since(start) < e.settings.StopBound {
 		time.Sleep(drainPollInterval)
 	}
-	e.log.Info("stopped", "in_progress", e.relay.InFlight(), "took", time.Since(began))
+	e.log.Info("stopped", "in_progress", e.relay.InFlight(), "took", time.Since(start))
 	e.close()
 }
 
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -40,7 +40,7 @@
 	// maxRelayBytesPerSecond bounds what a relay sends to the nodes of its data centre, since
 	// messages are large with many endpoints.
 	maxRelayBytesPerSecond = 2 << 20
-	// DefaultFullRateNodes is the number of nodes that call a relay at relayInterval.
+	// DefaultFullRateNodes is the number of nodes up to which they call a relay at relayInterval.
 	DefaultFullRateNodes = 25
 	// unknownPeerInterval applies to a peer of which only the address is known.
 	unknownPeerInterval = 300 * time.Millisecond
--- a/internal/gossip/gossiper_bench_test.go
+++ b/internal/gossip/gossiper_bench_test.go
@@ -19,7 +19,7 @@
 func newTestRelay(now time.Time) *Gossiper {
 	s := &Gossiper{
 		quarantine: newQuarantineTable(quarantine.NewQuarantine(func() bool { return false }), nil),
-		config:     Config{Incarnation: "n/life", DataCentre: "dc0", Address: "10.0.9.9:1"},
+		config:     Config{Incarnation: "n/inc1", DataCentre: "dc0", Address: "10.0.9.9:1"},
 		directory:  directory.New(directory.Codec{}),
 		balancer:   relay.NewBalancer("dc0", rand.NewPCG(1, 1), relay.DefaultWeights),
 		demand:     relay.NewDemand(),
@@ -39,7 +39,7 @@
 			dc = serving.DataCentre(fmt.Sprintf("dc%d", i-57))
 		}
 		address := fmt.Sprintf("10.0.0.%d:1", i)
-		p := &peer{id: fmt.Sprintf("n%d/life", i), address: address, dataCentre: dc, lastHeard: now, hasSent: true, rows: 1, own: work{loads: heads(4*i, 4)}}
+		p := &peer{id: fmt.Sprintf("n%d/inc1", i), address: address, dataCentre: dc, lastHeard: now, hasSent: true, rows: 1, own: work{loads: heads(4*i, 4)}}
 		if i >= 58 {
 			p.relays, p.controls, p.localNodes, p.relayed = true, true, 59, work{loads: heads(0, 100)}
 		}
--- a/internal/gossip/permits.go
+++ b/internal/gossip/permits.go
@@ -56,9 +56,9 @@
 }
 
 // requestPermit requests a permit for a rate-limited endpoint.
-func (g *Gossiper) requestPermit(ctx context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
+func (g *Gossiper) requestPermit(ctx context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (throttle.Permit, error) {
 	now := time.Now()
-	answer, err := g.AcquirePermit(ctx, &sharepb.PermitRequest{Advisory: throttle.ToWire(e.Incarnation(), known, now), DataCentre: string(e.DataCentre)})
+	answer, err := g.AcquirePermit(ctx, &sharepb.PermitRequest{Advisory: throttle.ToWire(e.Incarnation(), knownLimit, now), DataCentre: string(e.DataCentre)})
 	if err != nil {
 		return throttle.Permit{}, err
 	}
@@ -74,8 +74,8 @@
 	case err != nil:
 		return nil, oops.In("throttle").Wrap(err)
 	case self:
-		inc, known := throttle.FromWire(q.GetAdvisory(), now)
-		return toPermitAnswer(inc, g.throttle.Allocate(inc, known, now), now), nil
+		inc, knownLimit := throttle.FromWire(q.GetAdvisory(), now)
+		return toPermitAnswer(inc, g.throttle.Allocate(inc, knownLimit, now), now), nil
 	case q.GetHops() >= maxHops:
 		return nil, oops.In("throttle").Wrap(errNoAllocator)
 	}
--- a/internal/gossip/quarantinetable.go
+++ b/internal/gossip/quarantinetable.go
@@ -58,64 +58,64 @@
 
 // sync makes the calls that are due: an initial read, reads while another data centre is
 // unreachable, and a commit if there are pending changes.
-func (c *quarantineTable) sync(ctx context.Context, role quarantineRole, now time.Time) {
-	c.checkEra()
-	if now.Sub(c.lastAttempt) < quarantineReadInterval && (c.lastRead.IsZero() || c.lastAttempt.After(c.lastRead)) {
+func (t *quarantineTable) sync(ctx context.Context, role quarantineRole, now time.Time) {
+	t.checkEra()
+	if now.Sub(t.lastAttempt) < quarantineReadInterval && (t.lastRead.IsZero() || t.lastAttempt.After(t.lastRead)) {
 		return
 	}
-	write, remove := c.pending()
+	write, remove := t.pending()
 	pending := len(write)+len(remove) > 0
-	switch since := now.Sub(c.lastRead); {
-	case c.lastRead.IsZero(), role.partitioned && since >= quarantineReadInterval, !role.firstDataCentre && pending && since >= secondaryWriteDelay:
-		c.lastAttempt = now
-		if !c.readTable(ctx) {
+	switch since := now.Sub(t.lastRead); {
+	case t.lastRead.IsZero(), role.partitioned && since >= quarantineReadInterval, !role.firstDataCentre && pending && since >= secondaryWriteDelay:
+		t.lastAttempt = now
+		if !t.readTable(ctx) {
 			return
 		}
-		c.lastRead = now
-		write, remove = c.pending()
+		t.lastRead = now
+		write, remove = t.pending()
 	case !role.firstDataCentre:
 		return
 	}
 	if len(write)+len(remove) == 0 {
 		return
 	}
-	c.lastAttempt = now
-	if c.commit(ctx, write, remove) {
-		c.lastAttempt = time.Time{}
+	t.lastAttempt = now
+	if t.commit(ctx, write, remove) {
+		t.lastAttempt = time.Time{}
 	}
 }
 
 // checkEra has the table read and written again after the store was restored from an older copy,
 // which may lack rows.
-func (c *quarantineTable) checkEra() {
-	era := c.store.Era()
-	if era == c.era {
+func (t *quarantineTable) checkEra() {
+	era := t.store.Era()
+	if era == t.era {
 		return
 	}
-	c.era, c.lastRead = era, time.Time{}
-	c.list.MarkAllUnstored()
+	t.era, t.lastRead = era, time.Time{}
+	t.list.MarkAllUnstored()
 }
 
 // pending returns the records to be written and the rows to be removed now.
-func (c *quarantineTable) pending() (write []qlist.Record, remove []qlist.Fingerprint) {
+func (t *quarantineTable) pending() (write []qlist.Record, remove []qlist.Fingerprint) {
 	minCrashes := qlist.MaxCrashes - 1
-	if len(c.versions) >= maxQuarantineRows/2 {
+	if len(t.versions) >= maxQuarantineRows/2 {
 		minCrashes = qlist.MaxCrashes
 	}
-	limit := min(maxRowsPerChange, maxQuarantineRows-len(c.versions))
-	c.logFull(limit <= 0)
-	write, remove = c.list.Unstored(minCrashes, max(0, limit))
-	remove = append(remove, c.expired...)
+	limit := min(maxRowsPerChange, maxQuarantineRows-len(t.versions))
+	t.logFull(limit <= 0)
+	write, remove = t.list.Unstored(minCrashes, max(0, limit))
+	remove = append(remove, t.expired...)
 	return write, remove[:min(len(remove), maxRowsPerChange-len(write))]
 }
 
 // logFull logs when the table becomes full or has room again.
-func (c *quarantineTable) logFull(full bool) {
-	if full == c.full {
+func (t *quarantineTable) logFull(full bool) {
+	if full == t.full {
 		return
 	}
-	c.full = full
-	c.log.Warn("the quarantine's table became full or has room again", "full", full, "rows", len(c.versions), "bound", maxQuarantineRows)
+	t.full = full
+	t.log.Warn("the quarantine's table became full or has room again", "full", full, "rows", len(t.versions), "bound", maxQuarantineRows)
 }
 
 // quarantineRow is the value of a row.
@@ -127,23 +127,23 @@
 }
 
 // readTable merges the table's records and reports whether it could be read.
-func (c *quarantineTable) readTable(ctx context.Context) bool {
+func (t *quarantineTable) readTable(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, quarantineCallTimeout)
 	defer cancel()
-	page, err := c.store.Read(ctx, QuarantineTable, "")
+	page, err := t.store.Read(ctx, QuarantineTable, "")
 	if err != nil {
-		c.log.Info("failed to read the quarantine's table; keeping the known records", "error", err)
+		t.log.Info("failed to read the quarantine's table; keeping the known records", "error", err)
 		return false
 	}
 	now := time.Now()
-	clear(c.versions)
+	clear(t.versions)
 	var records []qlist.Record
 	invalid, firstErr := 0, error(nil)
 	for _, row := range page.Rows {
 		f, err := qlist.ParseFingerprint(row.Key)
 		if err == nil {
 			// An invalid row is also replaced by this node's record of the fingerprint.
-			c.versions[f] = row.Version
+			t.versions[f] = row.Version
 			var r qlist.Record
 			if r, err = parseRecord(f, row.Value, now); err == nil {
 				records = append(records, r)
@@ -155,12 +155,12 @@
 	}
 	if invalid > 0 {
 		// Another program may have written them.
-		c.log.Error("ignoring invalid rows of the quarantine's table", "rows", invalid, "first_error", firstErr)
+		t.log.Error("ignoring invalid rows of the quarantine's table", "rows", invalid, "first_error", firstErr)
 	}
-	c.list.Merge(records, "table", now)
-	c.list.MarkStored(records, nil)
+	t.list.Merge(records, "table", now)
+	t.list.MarkStored(records, nil)
 	if len(records) > 0 {
-		c.log.Info("read the quarantine's table", "rows", len(page.Rows), "records", len(records), "version", page.Version)
+		t.log.Info("read the quarantine's table", "rows", len(page.Rows), "records", len(records), "version", page.Version)
 	}
 	return true
 }
@@ -181,7 +181,7 @@
 
 // commit writes and removes rows and reports whether it succeeded. On a conflict with another
 // node's change the table is read again.
-func (c *quarantineTable) commit(ctx context.Context, write []qlist.Record, remove []qlist.Fingerprint) bool {
+func (t *quarantineTable) commit(ctx context.Context, write []qlist.Record, remove []qlist.Fingerprint) bool {
 	change := table.Change{}
 	for _, r := range write {
 		value := quarantineRow{Tried: r.TrialUsed}
@@ -191,7 +191,7 @@
 		text, _ := json.Marshal(value) // Encoding a plain struct never fails.
 		row := table.Row{Table: QuarantineTable, Key: r.Fingerprint.String(), Value: text}
 		change.Writes = append(change.Writes, row)
-		row.Version = c.versions[r.Fingerprint]
+		row.Version = t.versions[r.Fingerprint]
 		change.Conditions = append(change.Conditions, row)
 	}
 	for _, f := range remove {
@@ -199,24 +199,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantineCallTimeout)
 	defer cancel()
-	version, err := c.store.Commit(ctx, change)
+	version, err := t.store.Commit(ctx, change)
 	if errors.Is(err, table.ErrConflict) {
-		c.lastRead = time.Time{}
+		t.lastRead = time.Time{}
 		return false
 	}
 	if err != nil {
 		// The change may have been applied; the next attempt then conflicts and reads.
-		c.log.Info("failed to change the quarantine's table; retrying", "writes", len(write), "removals", len(remove), "error", err)
+		t.log.Info("failed to change the quarantine's table; retrying", "writes", len(write), "removals", len(remove), "error", err)
 		return false
 	}
 	for _, r := range write {
-		c.versions[r.Fingerprint] = version
+		t.versions[r.Fingerprint] = version
 	}
 	for _, f := range remove {
-		delete(c.versions, f)
+		delete(t.versions, f)
 	}
-	c.expired = slices.DeleteFunc(c.expired, func(f qlist.Fingerprint) bool { return slices.Contains(remove, f) })
-	c.list.MarkStored(write, remove)
-	c.log.Info("changed the quarantine's table", "writes", len(write), "removals", len(remove), "version", version)
+	t.expired = slices.DeleteFunc(t.expired, func(f qlist.Fingerprint) bool { return slices.Contains(remove, f) })
+	t.list.MarkStored(write, remove)
+	t.log.Info("changed the quarantine's table", "writes", len(write), "removals", len(remove), "version", version)
 	return true
 }
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -93,31 +93,31 @@
 	return &Detector{log: logging.For("quarantine"), quarantine: q, replaced: replaced, dial: dial, suspected: map[Incarnation]*suspectedCrash{}}
 }
 
-// ReportBroken records that a request, sent at began, broke off at an endpoint. The returned
+// ReportBroken records that a request sent at a time broke off at an incarnation. The returned
 // channel is closed once the crash probe completes; it is nil if none is in flight.
-func (d *Detector) ReportBroken(f qlist.Fingerprint, at Incarnation, began, now time.Time) (probeDone <-chan struct{}) {
+func (d *Detector) ReportBroken(f qlist.Fingerprint, inc Incarnation, sent, now time.Time) (probeDone <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.quarantine.crashedBefore(f, at.hash(), began.Add(-crashSkew)) {
+	for d.quarantine.crashedBefore(f, inc.hash(), sent.Add(-crashSkew)) {
 		// A peer reported the crash, and the row of the next incarnation has not arrived yet.
-		at.unlistedRestarts++
+		inc.unlistedRestarts++
 	}
-	s := d.suspected[at]
-	for s != nil && !s.crashedAt.IsZero() && began.After(s.crashedAt) {
+	s := d.suspected[inc]
+	for s != nil && !s.crashedAt.IsZero() && sent.After(s.crashedAt) {
 		// A request sent after the crash reached the next incarnation.
-		at.unlistedRestarts++
-		s = d.suspected[at]
+		inc.unlistedRestarts++
+		s = d.suspected[inc]
 	}
 	if s == nil && len(d.suspected) >= maxSuspectedCrashes {
 		return nil
 	}
 	if s == nil {
 		s = &suspectedCrash{}
-		d.suspected[at] = s
+		d.suspected[inc] = s
 	}
 	s.lastBroken = now
 	if !s.crashedAt.IsZero() {
-		d.quarantine.addCrash(f, at.hash(), at.Endpoint, now)
+		d.quarantine.addCrash(f, inc.hash(), inc.Endpoint, now)
 		return nil
 	}
 	if len(s.fingerprints) < maxBrokenRequests {
@@ -129,7 +129,7 @@
 	}
 	s.probing = true
 	s.probeDone = make(chan struct{})
-	go d.probe(at, s, s.lastProbe)
+	go d.probe(inc, s, s.lastProbe)
 	return s.probeDone
 }
 
@@ -149,28 +149,28 @@
 }
 
 // probe dials the endpoint, and dials it again if requests broke off meanwhile.
-func (d *Detector) probe(at Incarnation, s *suspectedCrash, lastProbe time.Time) {
+func (d *Detector) probe(inc Incarnation, s *suspectedCrash, lastProbe time.Time) {
 	for again := true; again; {
 		time.Sleep(time.Until(lastProbe.Add(probeInterval)))
 		lastProbe = time.Now()
-		again = d.probeOnce(at, s, lastProbe)
+		again = d.probeOnce(inc, s, lastProbe)
 	}
 }
 
 // probeOnce dials the endpoint and reports whether to dial again, since a request broke off
 // meanwhile.
-func (d *Detector) probeOnce(at Incarnation, s *suspectedCrash, now time.Time) bool {
+func (d *Detector) probeOnce(inc Incarnation, s *suspectedCrash, now time.Time) bool {
 	d.mu.Lock()
 	s.probeAgain, s.lastProbe = false, now
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	err := d.dial(ctx, at.Address)
+	err := d.dial(ctx, inc.Address)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	if refused {
-		d.recordCrash(at, s, "connection refused", time.Now())
+		d.recordCrash(inc, s, "connection refused", time.Now())
 	}
 	s.probing = s.probeAgain && !refused
 	close(s.probeDone)
@@ -181,12 +181,12 @@
 
 // recordCrash attributes a crash to all requests that broke off at the endpoint; the caller
 // holds the lock.
-func (d *Detector) recordCrash(at Incarnation, s *suspectedCrash, evidence string, now time.Time) {
-	d.log.Info("endpoint crashed while running requests", "endpoint", string(at.Endpoint), "started_at", at.StartedAt, "address", at.Address,
+func (d *Detector) recordCrash(inc Incarnation, s *suspectedCrash, evidence string, now time.Time) {
+	d.log.Info("endpoint crashed while running requests", "endpoint", string(inc.Endpoint), "started_at", inc.StartedAt, "address", inc.Address,
 		"evidence", evidence, "requests", len(s.fingerprints), "after", now.Sub(s.lastBroken))
 	s.crashedAt = now
 	for _, f := range s.fingerprints {
-		d.quarantine.addCrash(f, at.hash(), at.Endpoint, now)
+		d.quarantine.addCrash(f, inc.hash(), inc.Endpoint, now)
 	}
 	s.fingerprints = nil
 }
@@ -215,14 +215,14 @@
 	replaced := d.replaced(d.unresolved())
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, at := range replaced {
-		if s := d.suspected[at]; s != nil && s.isUnresolved() {
-			d.recordCrash(at, s, "replaced by another incarnation", now)
+	for _, inc := range replaced {
+		if s := d.suspected[inc]; s != nil && s.isUnresolved() {
+			d.recordCrash(inc, s, "replaced by another incarnation", now)
 		}
 	}
-	for at, s := range d.suspected {
+	for inc, s := range d.suspected {
 		if !s.probing && now.Sub(s.lastBroken) > replacementTimeout {
-			delete(d.suspected, at)
+			delete(d.suspected, inc)
 		}
 	}
 	d.watching = len(d.suspected) > 0
@@ -235,9 +235,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Incarnation
-	for at, s := range d.suspected {
-		if at.unlistedRestarts == 0 && s.isUnresolved() {
-			out = append(out, at)
+	for inc, s := range d.suspected {
+		if inc.unlistedRestarts == 0 && s.isUnresolved() {
+			out = append(out, inc)
 		}
 	}
 	return out
--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -47,7 +47,7 @@
 
 // Only crashes count against requests, not resets or unreachable endpoints.
 func TestDetector_DistinguishesCrashFromReset(t *testing.T) {
-	at := Incarnation{Endpoint: "e", StartedAt: 5, Address: "a:1"}
+	inc := Incarnation{Endpoint: "e", StartedAt: 5, Address: "a:1"}
 	for _, test := range []struct {
 		name     string
 		dial     error
@@ -63,7 +63,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			q := NewQuarantine(noTrials)
 			network := &fakeNetwork{err: test.dial}
-			c := NewDetector(q, func(incarnations []Incarnation) []Incarnation {
+			d := NewDetector(q, func(incarnations []Incarnation) []Incarnation {
 				if test.replaced {
 					return incarnations
 				}
@@ -71,19 +71,19 @@
 			}, network.dial)
 			now := time.Now()
 			for _, f := range []byte{1, 2} {
-				c.ReportBroken(qlist.Fingerprint{f}, at, now, now)
-				c.ReportBroken(qlist.Fingerprint{f}, at, now, now)
+				d.ReportBroken(qlist.Fingerprint{f}, inc, now, now)
+				d.ReportBroken(qlist.Fingerprint{f}, inc, now, now)
 			}
 			require.Eventually(t, func() bool {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				return !c.suspected[at].probing
+				d.mu.Lock()
+				defer d.mu.Unlock()
+				return !d.suspected[inc].probing
 			}, waitTimeout, time.Millisecond)
-			require.False(t, c.checkReplacements(now.Add(time.Millisecond)), "still watched")
+			require.False(t, d.checkReplacements(now.Add(time.Millisecond)), "still watched")
 			for _, f := range []byte{1, 2} {
 				require.Equal(t, test.want, crashCount(q, qlist.Fingerprint{f}))
 			}
-			require.True(t, c.checkReplacements(now.Add(2*replacementTimeout)), "watching ends")
+			require.True(t, d.checkReplacements(now.Add(2*replacementTimeout)), "watching ends")
 		})
 	}
 }
@@ -92,22 +92,22 @@
 func TestDetector_DetectsCrashAfterEarlierReset(t *testing.T) {
 	q := NewQuarantine(noTrials)
 	network := &fakeNetwork{}
-	c := NewDetector(q, noneReplaced, network.dial)
-	at := Incarnation{Endpoint: "e", Address: "a:1"}
-	c.ReportBroken(qlist.Fingerprint{1}, at, time.Now(), time.Now())
+	d := NewDetector(q, noneReplaced, network.dial)
+	inc := Incarnation{Endpoint: "e", Address: "a:1"}
+	d.ReportBroken(qlist.Fingerprint{1}, inc, time.Now(), time.Now())
 	require.Eventually(t, func() bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return !c.suspected[at].probing
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return !d.suspected[inc].probing
 	}, waitTimeout, time.Millisecond)
 	network.set(syscall.ECONNREFUSED)
-	c.ReportBroken(qlist.Fingerprint{2}, at, time.Now(), time.Now())
+	d.ReportBroken(qlist.Fingerprint{2}, inc, time.Now(), time.Now())
 	require.Eventually(t, func() bool { return crashCount(q, qlist.Fingerprint{2}) == 1 }, waitTimeout, time.Millisecond)
 	// Further broken streams of a crashed endpoint need no dial.
 	dials := network.dials
 	sent := time.Now().Add(-time.Second)
 	for f := range byte(50) {
-		c.ReportBroken(qlist.Fingerprint{100 + f}, at, sent, time.Now())
+		d.ReportBroken(qlist.Fingerprint{100 + f}, inc, sent, time.Now())
 		require.Equal(t, 1, crashCount(q, qlist.Fingerprint{100 + f}))
 	}
 	require.Equal(t, dials, network.dials)
@@ -116,12 +116,12 @@
 // An endpoint that resets many connections must not be dialed for each.
 func TestDetector_LimitsProbeRate(t *testing.T) {
 	network := &fakeNetwork{}
-	c := NewDetector(NewQuarantine(noTrials), noneReplaced, network.dial)
-	began := time.Now()
-	for time.Since(began) < 4*probeInterval {
-		c.ReportBroken(qlist.Fingerprint{1}, Incarnation{Endpoint: "e"}, began, time.Now())
+	d := NewDetector(NewQuarantine(noTrials), noneReplaced, network.dial)
+	start := time.Now()
+	for time.Since(start) < 4*probeInterval {
+		d.ReportBroken(qlist.Fingerprint{1}, Incarnation{Endpoint: "e"}, start, time.Now())
 	}
-	took := time.Since(began)
+	took := time.Since(start)
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	require.LessOrEqual(t, network.dials, int(took/probeInterval)+2)
@@ -131,14 +131,14 @@
 func TestDetector_CountsCrashesBeforeNextRow(t *testing.T) {
 	q := NewQuarantine(noTrials)
 	network := &fakeNetwork{err: syscall.ECONNREFUSED}
-	c := NewDetector(q, noneReplaced, network.dial)
-	at := Incarnation{Endpoint: "e", StartedAt: 7, Address: "a:1"}
+	d := NewDetector(q, noneReplaced, network.dial)
+	inc := Incarnation{Endpoint: "e", StartedAt: 7, Address: "a:1"}
 	f := qlist.Fingerprint{1}
 	for n := range 3 {
 		sent := time.Now()
-		c.ReportBroken(f, at, sent, time.Now())
+		d.ReportBroken(f, inc, sent, time.Now())
 		require.Eventually(t, func() bool { return crashCount(q, f) == n+1 }, waitTimeout, time.Millisecond)
-		c.ReportBroken(f, at, sent, time.Now())
+		d.ReportBroken(f, inc, sent, time.Now())
 		require.Equal(t, n+1, crashCount(q, f), "the same incarnation")
 	}
 }
@@ -147,41 +147,41 @@
 // same StartedAt and counted as one.
 func TestDetector_SeparatesCrashesReportedByPeers(t *testing.T) {
 	network := &fakeNetwork{err: syscall.ECONNREFUSED}
-	at := Incarnation{Endpoint: "e", StartedAt: 7, Address: "a:1"}
+	inc := Incarnation{Endpoint: "e", StartedAt: 7, Address: "a:1"}
 	f := qlist.Fingerprint{1}
 	first, second := NewQuarantine(noTrials), NewQuarantine(noTrials)
 	var fromFirst, fromSecond delta.Cursor
 	sent := time.Now()
-	NewDetector(first, noneReplaced, network.dial).ReportBroken(f, at, sent, time.Now())
+	NewDetector(first, noneReplaced, network.dial).ReportBroken(f, inc, sent, time.Now())
 	require.Eventually(t, func() bool { return crashCount(first, f) == 1 }, waitTimeout, time.Millisecond)
 	second.ApplyDelta(&fromFirst, first.Delta(&fromSecond, time.Now()), "first", time.Now())
 
-	NewDetector(second, noneReplaced, network.dial).ReportBroken(f, at, sent, time.Now())
+	NewDetector(second, noneReplaced, network.dial).ReportBroken(f, inc, sent, time.Now())
 	time.Sleep(2 * crashSkew)
 	require.Equal(t, 1, crashCount(second, f), "sent before the crash, to the same incarnation")
 	// This detector has seen no crash of the endpoint itself.
-	NewDetector(second, noneReplaced, network.dial).ReportBroken(f, at, time.Now(), time.Now())
+	NewDetector(second, noneReplaced, network.dial).ReportBroken(f, inc, time.Now(), time.Now())
 	require.Eventually(t, func() bool { return crashCount(second, f) == 2 }, waitTimeout, time.Millisecond)
 }
 
 // A fleet that fails at once must not grow the records without bound.
 func TestDetector_BoundsRecords(t *testing.T) {
 	block := make(chan struct{})
-	c := NewDetector(NewQuarantine(noTrials), noneReplaced, func(context.Context, string) error {
+	d := NewDetector(NewQuarantine(noTrials), noneReplaced, func(context.Context, string) error {
 		<-block
 		return nil
 	})
 	now := time.Now()
 	for endpoint := range 2 * maxSuspectedCrashes {
 		for f := range 2 * maxBrokenRequests {
-			c.ReportBroken(qlist.Fingerprint{byte(f), byte(f >> 8)}, Incarnation{StartedAt: int64(endpoint)}, now, now)
+			d.ReportBroken(qlist.Fingerprint{byte(f), byte(f >> 8)}, Incarnation{StartedAt: int64(endpoint)}, now, now)
 		}
 	}
-	c.mu.Lock()
-	require.Len(t, c.suspected, maxSuspectedCrashes)
-	for _, b := range c.suspected {
-		require.LessOrEqual(t, len(b.fingerprints), maxBrokenRequests)
+	d.mu.Lock()
+	require.Len(t, d.suspected, maxSuspectedCrashes)
+	for _, s := range d.suspected {
+		require.LessOrEqual(t, len(s.fingerprints), maxBrokenRequests)
 	}
-	c.mu.Unlock()
+	d.mu.Unlock()
 	close(block)
 }
--- a/internal/throttle/cooldown_policy_test.go
+++ b/internal/throttle/cooldown_policy_test.go
@@ -177,7 +177,7 @@
 	return arrival{at: at + after, firstAt: q.firstAt, retries: q.retries + 1}, true
 }
 
-// recordLatency counts a request whose first event came after a time.
+// recordLatency counts a response as in time or late.
 func (p *simulation) recordLatency(took time.Duration) {
 	if took <= objective {
 		p.out.inTime++
@@ -231,7 +231,7 @@
 	return true
 }
 
-// recordInCooldown counts what reaches an endpoint from a node in a cooldown.
+// recordInCooldown counts the requests that a node sends to an endpoint in a cooldown.
 func (p *simulation) recordInCooldown(node, to int, at time.Duration) {
 	pair := [2]int{node, to}
 	cooldownStart, ok := p.cooldownStart[pair]
@@ -241,7 +241,7 @@
 	}
 }
 
-// requestCooldown has an endpoint requestCooldown a node for a cooldown.
+// requestCooldown lets a node receive a cooldown from an endpoint, as the policy applies it.
 func (p *simulation) requestCooldown(node, to int, at time.Duration) {
 	pair := [2]int{node, to}
 	if cooldownStart, ok := p.cooldownStart[pair]; !ok || at-cooldownStart >= shedCooldown {
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -39,23 +39,23 @@
 // Acquire reports whether a request may be sent to an endpoint, and takes a permit if the
 // endpoint is rate limited.
 func (t *Tracker) Acquire(ctx context.Context, e *serving.Endpoint) bool {
-	known := t.RateLimit(e.Incarnation())
-	if !known.InForce() {
+	knownLimit := t.RateLimit(e.Incarnation())
+	if !knownLimit.InForce() {
 		return true
 	}
 	if t.isUnreachable(e.DataCentre) {
-		return t.acquireShare(e, known)
+		return t.acquireShare(e, knownLimit)
 	}
 	askCtx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
-	permit, err := t.options.Ask(askCtx, e, known)
+	permit, err := t.options.Ask(askCtx, e, knownLimit)
 	if err != nil && ctx.Err() != nil {
 		// The caller disconnected or its deadline passed; the allocator may be reachable.
 		return false
 	}
 	if err != nil {
 		t.markUnreachable(e.DataCentre, err)
-		return t.acquireShare(e, known)
+		return t.acquireShare(e, knownLimit)
 	}
 	now := time.Now()
 	t.mu.Lock()
@@ -90,7 +90,7 @@
 }
 
 // acquireShare takes a permit from this node's local share of the limit.
-func (t *Tracker) acquireShare(e *serving.Endpoint, known advisory.RateLimit) bool {
+func (t *Tracker) acquireShare(e *serving.Endpoint, knownLimit advisory.RateLimit) bool {
 	now := time.Now()
 	nodes := t.nodes()
 	t.mu.Lock()
@@ -100,7 +100,7 @@
 		share = &ratelimit.LocalShare{}
 		t.shares[e.Incarnation()] = share
 	}
-	if now.Sub(t.started) >= shareWarmup && share.Take(known.PerSecond, nodes, rand.Float64, now) {
+	if now.Sub(t.started) >= shareWarmup && share.Take(knownLimit.PerSecond, nodes, rand.Float64, now) {
 		t.countPermit("own")
 		return true
 	}
@@ -118,10 +118,10 @@
 
 // Allocate grants or denies a permit for an endpoint, after applying the limit known to the
 // node that requests it.
-func (t *Tracker) Allocate(inc serving.Incarnation, known advisory.RateLimit, now time.Time) Permit {
+func (t *Tracker) Allocate(inc serving.Incarnation, knownLimit advisory.RateLimit, now time.Time) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.applyLimitLocked(inc, known, "permit request", now)
+	t.applyLimitLocked(inc, knownLimit, "permit request", now)
 	l := t.registry.Lookup(inc)
 	if !l.InForce() {
 		return Permit{Granted: true, Limit: l}
--- a/internal/throttle/tracker.go
+++ b/internal/throttle/tracker.go
@@ -28,7 +28,7 @@
 type Options struct {
 	// Ask requests a permit from the allocator of an endpoint. An error means that the
 	// allocator is unreachable. If nil, this node allocates all permits itself.
-	Ask func(ctx context.Context, e *serving.Endpoint, known advisory.RateLimit) (Permit, error)
+	Ask func(ctx context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (Permit, error)
 	// Nodes returns the number of nodes.
 	Nodes func() int
 	// OnDraining is called when an endpoint becomes known to be draining; it may be nil.
@@ -81,8 +81,8 @@
 		t.options.OnDraining = func() {}
 	}
 	if t.options.Ask == nil {
-		t.options.Ask = func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (Permit, error) {
-			return t.Allocate(e.Incarnation(), known, time.Now()), nil
+		t.options.Ask = func(_ context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (Permit, error) {
+			return t.Allocate(e.Incarnation(), knownLimit, time.Now()), nil
 		}
 	}
 	return t
--- a/internal/throttle/tracker_test.go
+++ b/internal/throttle/tracker_test.go
@@ -19,10 +19,10 @@
 var endpoint = &serving.Endpoint{ID: "e", StartedAt: 7, DataCentre: "north"}
 
 // countGranted requests a permit every millisecond for a duration and counts those granted.
-func countGranted(t *Tracker, inc serving.Incarnation, known advisory.RateLimit, from time.Time, duration time.Duration) int {
+func countGranted(t *Tracker, inc serving.Incarnation, knownLimit advisory.RateLimit, from time.Time, duration time.Duration) int {
 	granted := 0
 	for at := time.Duration(0); at < duration; at += time.Millisecond {
-		if t.Allocate(inc, known, from.Add(at)).Granted {
+		if t.Allocate(inc, knownLimit, from.Add(at)).Granted {
 			granted++
 		}
 	}
@@ -98,7 +98,7 @@
 
 	tracker.started = time.Now().Add(-time.Minute)
 	granted := 0
-	for began := time.Now(); time.Since(began) < time.Second; time.Sleep(2 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < time.Second; time.Sleep(2 * time.Millisecond) {
 		if tracker.Acquire(t.Context(), endpoint) {
 			granted++
 		}
--- a/pkg/quarantine/list.go
+++ b/pkg/quarantine/list.go
@@ -145,8 +145,8 @@
 	slices.SortFunc(changed, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(a.version, b.version))
 	})
-	worst := min(limit/2, len(changed))
-	slices.SortFunc(changed[worst:], func(a, b *entry) int { return cmp.Compare(a.version, b.version) })
+	mostCrashes := min(limit/2, len(changed))
+	slices.SortFunc(changed[mostCrashes:], func(a, b *entry) int { return cmp.Compare(a.version, b.version) })
 	count := min(limit, len(changed))
 	until := l.version
 	if count < len(changed) {
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -80,8 +80,8 @@
 
 // addCrash adds a crash and reports whether it is new and after the last success.
 func (r *Record) addCrash(crash Crash) bool {
-	known := func(other Crash) bool { return other.Incarnation == crash.Incarnation }
-	if len(r.Crashes) >= maxCrashesKept || !crash.At.After(r.Served) || slices.ContainsFunc(r.Crashes, known) {
+	sameIncarnation := func(other Crash) bool { return other.Incarnation == crash.Incarnation }
+	if len(r.Crashes) >= maxCrashesKept || !crash.At.After(r.Served) || slices.ContainsFunc(r.Crashes, sameIncarnation) {
 		return false
 	}
 	at, _ := slices.BinarySearchFunc(r.Crashes, crash, func(a, b Crash) int { return a.At.Compare(b.At) })
