--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -24,22 +24,22 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// The slopes behind docs/CAPACITY.md; `make capacity` prints them. A data
-// centre of loops is driven without sockets: the watchers' polls succeed, and
-// messages are encoded, decoded and applied as on the wire.
+// The benchmarks that `make capacity` runs. They drive the loops of a data
+// centre without sockets: all polls succeed, and messages are encoded, decoded
+// and applied as on the wire.
 
-const benchSize = 8
+const testGroupSize = 8
 
-// centre is all the loops of one data centre at rest.
-type centre struct {
+// testDataCentre has all loops of one data centre without changes.
+type testDataCentre struct {
 	loops     []*Loop
 	instances []fleet.Instance
 	endpoints int
 	now       time.Time
 }
 
-func newCentre(nodes, endpoints int) *centre {
-	c := &centre{now: time.Now(), endpoints: endpoints}
+func newTestDataCentre(nodes, endpoints int) *testDataCentre {
+	c := &testDataCentre{now: time.Now(), endpoints: endpoints}
 	var groups []fleet.Group
 	for i := range endpoints {
 		id := fleet.InstanceID(fmt.Sprintf("engine-%05d", i))
@@ -47,20 +47,20 @@
 			ID: id, DataCentre: "dc", Domain: fmt.Sprintf("rack-%d", i/32), Address: "10.0.0.1:80",
 			Kind: fleet.KindEngine, Accelerators: 4, ChecksFences: true,
 		})
-		if i%benchSize == 0 && i+benchSize <= endpoints {
+		if i%testGroupSize == 0 && i+testGroupSize <= endpoints {
 			n := uint64(len(groups) + 1)
 			groups = append(groups, fleet.Group{
 				ID: fleet.GroupID(fmt.Sprintf("dc-1-%d", n)), DataCentre: "dc", Domain: fmt.Sprintf("rack-%d", i/32),
 				Template: "t", Weights: "m@1", Role: fleet.RoleMixed, Epoch: 1, Generation: n, Revision: n,
 			})
 		}
-		if i/benchSize < len(groups) {
-			g := &groups[i/benchSize]
+		if i/testGroupSize < len(groups) {
+			g := &groups[i/testGroupSize]
 			g.Members = append(g.Members, fleet.Member{Instance: id, Incarnation: 1})
 		}
 	}
 	for i := range nodes {
-		c.loops = append(c.loops, newBenchLoop(i))
+		c.loops = append(c.loops, newTestLoop(i))
 	}
 	for _, l := range c.loops {
 		self := l.options.Self
@@ -71,12 +71,12 @@
 		l.setInstances(c.now, c.instances)
 	}
 	for range 3 {
-		c.round()
+		c.exchangeAll()
 	}
 	return c
 }
 
-func newBenchLoop(i int) *Loop {
+func newTestLoop(i int) *Loop {
 	self := membership.Node{ID: membership.NodeID(fmt.Sprintf("node-%02d", i)), DataCentre: "dc", Address: "10.0.0.2:70"}
 	options := Options{
 		Self: self, Incarnation: uint64(i + 1), Intervals: DefaultIntervals(),
@@ -90,21 +90,21 @@
 	return l
 }
 
-// report is what an endpoint says of itself while its group serves.
-func (c *centre) report(i int) fleet.Report {
+// report returns the report of an endpoint whose group serves.
+func (c *testDataCentre) report(i int) fleet.Report {
 	r := fleet.Report{Instance: c.instances[i].ID, Incarnation: 1, Version: 2, Phase: fleet.PhaseReady, Weights: "m@1", Slots: 16}
-	if g := i / benchSize; (g+1)*benchSize <= c.endpoints {
+	if g := i / testGroupSize; (g+1)*testGroupSize <= c.endpoints {
 		r.Group, r.Generation = fleet.GroupID(fmt.Sprintf("dc-1-%d", g+1)), uint64(g+1)
 	}
 	return r
 }
 
-// round polls every endpoint once and has every pair exchange once; it
-// returns the bytes of the messages.
-func (c *centre) round() (bytes int) {
+// exchangeAll polls every endpoint once and runs one exchange for every pair;
+// it returns the size of the messages in bytes.
+func (c *testDataCentre) exchangeAll() (bytes int) {
 	c.now = c.now.Add(DefaultIntervals().Exchange)
 	for _, l := range c.loops {
-		l.shareWatches(c.now)
+		l.assignWatches(c.now)
 		for i, in := range c.instances[:c.endpoints] {
 			if l.watches[in.ID] != nil {
 				l.tracker.Observe(c.now, c.report(i))
@@ -121,15 +121,15 @@
 
 func exchangeOnce(now time.Time, a, b *Loop) int {
 	conf, groups := a.tracker.Revisions(b.options.Self.ID)
-	question, n := overTheWire(a.message(now, b.options.Self.ID, conf, groups))
-	e := exchangeEvent{question, make(chan *peers.Message, 1)}
+	request, n := encodeAndDecode(a.buildMessage(now, b.options.Self.ID, conf, groups))
+	e := exchangeRequest{request, make(chan *peers.Message, 1)}
 	e.apply(b, now)
-	answer, m := overTheWire(<-e.reply)
-	a.take(now, answer)
+	response, m := encodeAndDecode(<-e.reply)
+	a.applyPeerMessage(now, response)
 	return n + m
 }
 
-func overTheWire(m *peers.Message) (*peers.Message, int) {
+func encodeAndDecode(m *peers.Message) (*peers.Message, int) {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -141,17 +141,17 @@
 	return out, len(text)
 }
 
-// sizes are the entry instances and endpoints of one data centre.
-var sizes = []struct{ nodes, endpoints int }{
+// dataCentreSizes are the entry instances and endpoints of one data centre.
+var dataCentreSizes = []struct{ nodes, endpoints int }{
 	{3, 18}, {9, 50}, {18, 450}, {36, 900}, {72, 1833},
 }
 
-// BenchmarkExchange is one exchange of a pair at rest: both sides' work, and
-// the bytes of both messages.
+// BenchmarkExchange measures one exchange without changes: the work of both
+// sides and the size of both messages.
 func BenchmarkExchange(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range dataCentreSizes {
 		b.Run(fmt.Sprintf("nodes=%d/endpoints=%d", s.nodes, s.endpoints), func(b *testing.B) {
-			c := newCentre(s.nodes, s.endpoints)
+			c := newTestDataCentre(s.nodes, s.endpoints)
 			x, y := c.loops[0], c.loops[1]
 			bytes := 0
 			b.ResetTimer()
@@ -163,14 +163,14 @@
 	}
 }
 
-// BenchmarkPublish is one snapshot, with all groups serving.
+// BenchmarkPublish measures one snapshot with all groups serving.
 func BenchmarkPublish(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range dataCentreSizes {
 		b.Run(fmt.Sprintf("nodes=%d/endpoints=%d", s.nodes, s.endpoints), func(b *testing.B) {
-			c := newCentre(s.nodes, s.endpoints)
+			c := newTestDataCentre(s.nodes, s.endpoints)
 			l := c.loops[0]
 			l.publishNow(c.now)
-			require.Len(b, l.Snapshot().Targets, s.endpoints/benchSize)
+			require.Len(b, l.Snapshot().Targets, s.endpoints/testGroupSize)
 			b.ResetTimer()
 			for i := range b.N {
 				l.publishNow(c.now.Add(time.Duration(i)))
@@ -179,13 +179,13 @@
 	}
 }
 
-// BenchmarkPlan is one placement step of the controller, at rest.
+// BenchmarkPlan measures one placement step of the controller without changes.
 func BenchmarkPlan(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range dataCentreSizes {
 		b.Run(fmt.Sprintf("nodes=%d/endpoints=%d", s.nodes, s.endpoints), func(b *testing.B) {
-			c := newCentre(s.nodes, s.endpoints)
+			c := newTestDataCentre(s.nodes, s.endpoints)
 			l := c.loops[0]
-			demand := placement.Demand{Template: "t", Weights: "m@1", Size: benchSize, Want: s.endpoints / benchSize, Soon: s.endpoints / benchSize, WeightDowntime: 1, WeightStranded: 1}
+			demand := placement.Demand{Template: "t", Weights: "m@1", Size: testGroupSize, Want: s.endpoints / testGroupSize, Soon: s.endpoints / testGroupSize, WeightDowntime: 1, WeightStranded: 1}
 			b.ResetTimer()
 			for range b.N {
 				v := l.view(c.now)
@@ -196,24 +196,24 @@
 	}
 }
 
-// BenchmarkMemory is the heap that one node's control state takes.
+// BenchmarkMemory measures the heap size of one node's control state.
 func BenchmarkMemory(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range dataCentreSizes {
 		b.Run(fmt.Sprintf("nodes=%d/endpoints=%d", s.nodes, s.endpoints), func(b *testing.B) {
 			for range b.N {
-				before := heap()
-				c := newCentre(s.nodes, s.endpoints)
+				before := heapBytes()
+				c := newTestDataCentre(s.nodes, s.endpoints)
 				for _, l := range c.loops {
 					l.publishNow(c.now)
 				}
-				b.ReportMetric(float64(heap()-before)/float64(s.nodes)/1024, "KB/node")
+				b.ReportMetric(float64(heapBytes()-before)/float64(s.nodes)/1024, "KB/node")
 				runtime.KeepAlive(c)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -221,7 +221,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkPoll is one status poll over a real connection, and its bytes.
+// BenchmarkPoll measures one status poll over a real connection and its size.
 func BenchmarkPoll(b *testing.B) {
 	server := enginestandin.New(enginestandin.DefaultOptions("engine-00001", 1))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -246,24 +246,24 @@
 	b.ReportMetric(float64(counter.Written.Load()-written)/float64(b.N), "B-written/poll")
 }
 
-// benchHandler answers exchanges with a message of its own size.
-type benchHandler struct{ answer *peers.Message }
+// fixedAnswerHandler answers all exchanges with the same message.
+type fixedAnswerHandler struct{ answer *peers.Message }
 
-func (h benchHandler) Exchange(context.Context, *peers.Message) (*peers.Message, error) {
+func (h fixedAnswerHandler) Exchange(context.Context, *peers.Message) (*peers.Message, error) {
 	return h.answer, nil
 }
 
-func (h benchHandler) Forward(*peerpb.ForwardRequest, peerpb.DRPCPeers_ForwardStream) error {
+func (h fixedAnswerHandler) Forward(*peerpb.ForwardRequest, peerpb.DRPCPeers_ForwardStream) error {
 	return nil
 }
 
-// BenchmarkWire is one exchange over a real connection, and what the framing
-// adds to the messages' bytes.
+// BenchmarkWire measures one exchange over a real connection and the framing
+// overhead.
 func BenchmarkWire(b *testing.B) {
-	c := newCentre(3, 18)
-	message := c.loops[0].message(c.now, c.loops[1].options.Self.ID, 1, 99)
+	c := newTestDataCentre(3, 18)
+	message := c.loops[0].buildMessage(c.now, c.loops[1].options.Self.ID, 1, 99)
 	key := []byte("0123456789abcdef")
-	server, err := peers.Listen("127.0.0.1:0", key, netlink.New(nil), benchHandler{message})
+	server, err := peers.Listen("127.0.0.1:0", key, netlink.New(nil), fixedAnswerHandler{message})
 	require.NoError(b, err)
 	defer server.Close()
 	client := peers.NewClient(key, netlink.New(nil))
@@ -282,9 +282,9 @@
 	b.ReportMetric(float64(total)/float64(b.N)-float64(2*proto.Size(message)), "B-framing/exchange")
 }
 
-// TestBudgetAtSize holds the scaled intervals against what a node may send,
-// with the sizes that the benchmarks above measure.
-func TestBudgetAtSize(t *testing.T) {
+// The scaled intervals must keep a node's traffic within its budgets, and the
+// message size they assume must hold.
+func TestScaleIntervals_FitsTrafficBudget(t *testing.T) {
 	ttl := membership.TTLs{Own: 1200 * time.Millisecond, Vouch: 3 * time.Second, Peer: 1500 * time.Millisecond}
 	for _, c := range []struct {
 		nodes, watched int
@@ -294,14 +294,14 @@
 		{9, 12, 400 * time.Millisecond, 400 * time.Millisecond},
 		{72, 51, 2743181818, 1700 * time.Millisecond},
 	} {
-		got, times := scaled(DefaultIntervals(), ttl, c.nodes, c.watched)
+		got, ttls := scaleIntervals(DefaultIntervals(), ttl, c.nodes, c.watched)
 		require.Equal(t, c.exchange, got.Exchange)
 		require.Equal(t, c.poll, got.Poll)
-		require.GreaterOrEqual(t, times.Own, 2*got.Poll)
-		require.GreaterOrEqual(t, times.Vouch, 2*got.Exchange)
-		require.GreaterOrEqual(t, times.Peer, 2*got.Exchange)
+		require.GreaterOrEqual(t, ttls.Own, 2*got.Poll)
+		require.GreaterOrEqual(t, ttls.Vouch, 2*got.Exchange)
+		require.GreaterOrEqual(t, ttls.Peer, 2*got.Exchange)
 	}
-	c := newCentre(9, 50)
+	c := newTestDataCentre(9, 50)
 	bytes := exchangeOnce(c.now, c.loops[0], c.loops[1])
-	require.LessOrEqual(t, bytes/2+28, exchangeBytes, "a beat at rest has grown; measure and set the constant anew")
+	require.LessOrEqual(t, bytes/2+28, exchangeBytes, "the size of an unchanged heartbeat has grown; measure it and update exchangeBytes")
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,12 +1,13 @@
-// Package control is the node's control state and the one goroutine that
-// owns it.
+// Package control holds the node's control state and the goroutine that owns
+// it.
 //
-// Loop drives the pure machines (membership, lease, placement, configuration)
-// with what other goroutines bring it as events: answers of endpoints, peers
-// and the platform. It publishes an immutable Snapshot that traffic reads.
+// Loop drives the pure state machines (membership, lease, placement,
+// configuration) with events that other goroutines post: responses of
+// endpoints, peers and the platform. It publishes an immutable Snapshot for
+// request handling.
 //
-// Each duty has a file of its own: watch (endpoints), exchange (peers),
-// platform reads, lease, controller (placement), orders, snapshot, status.
+// The files: watch (endpoints), exchange (peers), reads (platform), lease,
+// controller (placement), orders, snapshot, status.
 package control
 
 import (
@@ -31,7 +32,7 @@
 
 // Intervals of the loop's periodic work.
 type Intervals struct {
-	// Tick is how often due work is looked for.
+	// Tick is the time between two checks for due work.
 	Tick time.Duration
 	// Poll is the time between two status polls of one endpoint.
 	Poll time.Duration
@@ -45,15 +46,16 @@
 	Instances time.Duration
 	// Plan is the time between two placement steps.
 	Plan time.Duration
-	// Publish is the least time between two snapshots, Refresh the time to
+	// Publish is the minimum time between two snapshots, Refresh the time to
 	// the next one when nothing changes.
 	Publish time.Duration
 	Refresh time.Duration
-	// Order is the time before an order is repeated.
+	// Order is the time after which an order is sent again.
 	Order time.Duration
 }
 
-// DefaultIntervals suit some ten entry instances and sixty endpoints.
+// DefaultIntervals returns intervals for small data centres; Loop scales them
+// to the size.
 func DefaultIntervals() Intervals {
 	return Intervals{
 		Tick:      50 * time.Millisecond,
@@ -69,12 +71,12 @@
 	}
 }
 
-// PoolLoad is how busy this node is with one pool, and what callers want.
+// PoolLoad is this node's load and demand of one pool.
 type PoolLoad struct {
 	Slots    int
 	InFlight int
 	Queued   int
-	// Rate is the recent requests a second.
+	// Rate is the recent requests per second.
 	Rate float64
 }
 
@@ -88,32 +90,32 @@
 	LeaseTTL    time.Duration
 	// UnfencedWait is how long a new controller waits before its first order
 	// to an endpoint that does not check fences: longer than an order of the
-	// last controller can be under way.
+	// previous controller can be in flight.
 	UnfencedWait time.Duration
 	// CallTimeout bounds one poll, order or exchange.
 	CallTimeout time.Duration
-	// Bootstrap are nodes that are known from the settings.
+	// Bootstrap are the nodes listed in the settings.
 	Bootstrap []membership.Node
 	Platform  *platform.Client
 	Engine    *engine.Client
 	Peers     *peers.Client
-	// Quarantine has the requests that end the endpoints that run them.
+	// Quarantine lists the requests that crash the endpoints that run them.
 	Quarantine *quarantine.Quarantine
-	// Load returns what traffic does now, by pool.
+	// Load returns the current load by pool.
 	Load func() map[string]PoolLoad
 	// Publish is called on the loop's goroutine with each new snapshot.
 	Publish func(*Snapshot)
 }
 
-// event is something that happened outside, to be applied by the loop.
+// event is a result or request from another goroutine that the loop applies.
 type event interface {
 	apply(l *Loop, now time.Time)
 }
 
 const eventBuffer = 1024
 
-// Loop owns the control state. Only its own goroutine touches the fields
-// below the line; others post events and read the snapshot.
+// Loop owns the control state. Only its own goroutine touches the fields from
+// start on; others post events and read the snapshot.
 type Loop struct {
 	options  Options
 	log      logging.Logger
@@ -121,7 +123,7 @@
 	ctx      context.Context
 	running  sync.WaitGroup
 	snapshot atomic.Pointer[Snapshot]
-	// intervals are those of the options, scaled to the data centre's size.
+	// intervals are the options' intervals scaled to the data centre's size.
 	intervals Intervals
 
 	start     time.Time
@@ -132,57 +134,56 @@
 	store     *configuration.Store
 	groups    *fleet.Groups
 	instances map[fleet.InstanceID]fleet.Instance
-	// unlisted are the instances that the list no longer has, but that still
-	// answer.
+	// unlisted are instances that are no longer listed but still respond.
 	unlisted map[fleet.InstanceID]bool
-	// listed is when the platform's list was last read.
-	listed   time.Time
-	watches  map[fleet.InstanceID]*watch
-	watchKey string
-	links    map[membership.NodeID]*link
-	remotes  map[membership.NodeID]*remote
-	news     map[membership.NodeID]*peerNews
-	leaving  bool
-	// published is the state of the last snapshot.
+	// instancesChanged is when the set of instances last changed.
+	instancesChangedAt time.Time
+	watches            map[fleet.InstanceID]*watch
+	watchKey           string
+	links              map[membership.NodeID]*peerLink
+	remotes            map[membership.NodeID]*remote
+	quarantineSyncs    map[membership.NodeID]*quarantineSync
+	stopping           bool
+	// published is the state on which the last snapshot is based.
 	published state
-	// matched is since when each member has matched its group.
-	matched map[fleet.InstanceID]match
-	reads   reads
-	control controller
-	orders  map[fleet.InstanceID]time.Time
-	next    due
+	// matched records since when each member has matched its group.
+	matched    map[fleet.InstanceID]match
+	reads      platformReads
+	controller controllerState
+	orders     map[fleet.InstanceID]time.Time
+	next       schedule
 }
 
-// due is when each periodic duty runs next.
-type due struct {
-	publish, refresh, plan, watches, forget time.Time
+// schedule is when each periodic task runs next.
+type schedule struct {
+	publish, refresh, plan, watches, expire time.Time
 }
 
-// New returns a loop that has not started.
+// New returns a loop; call Run to start it.
 func New(options Options) *Loop {
 	start := time.Now()
 	options.Membership.Self = options.Self
 	options.Membership.Incarnation = options.Incarnation
 	options.Membership.Start = start
 	l := &Loop{
-		options:   options,
-		intervals: options.Intervals,
-		log:       logging.For("control").With("node", string(options.Self.ID)),
-		events:    make(chan event, eventBuffer),
-		start:     start,
-		random:    rand.New(rand.NewPCG(options.Incarnation, uint64(start.UnixNano()))),
-		tracker:   membership.New(options.Membership),
-		planner:   placement.New(options.Placement),
-		store:     configuration.NewStore(),
-		groups:    fleet.NewGroups(),
-		instances: map[fleet.InstanceID]fleet.Instance{},
-		unlisted:  map[fleet.InstanceID]bool{},
-		watches:   map[fleet.InstanceID]*watch{},
-		links:     map[membership.NodeID]*link{},
-		remotes:   map[membership.NodeID]*remote{},
-		news:      map[membership.NodeID]*peerNews{},
-		matched:   map[fleet.InstanceID]match{},
-		orders:    map[fleet.InstanceID]time.Time{},
+		options:         options,
+		intervals:       options.Intervals,
+		log:             logging.For("control").With("node", string(options.Self.ID)),
+		events:          make(chan event, eventBuffer),
+		start:           start,
+		random:          rand.New(rand.NewPCG(options.Incarnation, uint64(start.UnixNano()))),
+		tracker:         membership.New(options.Membership),
+		planner:         placement.New(options.Placement),
+		store:           configuration.NewStore(),
+		groups:          fleet.NewGroups(),
+		instances:       map[fleet.InstanceID]fleet.Instance{},
+		unlisted:        map[fleet.InstanceID]bool{},
+		watches:         map[fleet.InstanceID]*watch{},
+		links:           map[membership.NodeID]*peerLink{},
+		remotes:         map[membership.NodeID]*remote{},
+		quarantineSyncs: map[membership.NodeID]*quarantineSync{},
+		matched:         map[fleet.InstanceID]match{},
+		orders:          map[fleet.InstanceID]time.Time{},
 	}
 	l.lease = lease.New(lease.Options{
 		Self:          string(options.Self.ID),
@@ -190,7 +191,7 @@
 		RenewInterval: options.LeaseTTL / 4,
 		Guard:         options.LeaseTTL / 4,
 	})
-	l.setKnown(start, nil)
+	l.setKnownNodes(start, nil)
 	l.snapshot.Store(&Snapshot{CreatedAt: start})
 	return l
 }
@@ -198,7 +199,7 @@
 // Snapshot returns the last published state.
 func (l *Loop) Snapshot() *Snapshot { return l.snapshot.Load() }
 
-// Run owns the control state until the context ends.
+// Run runs the loop until the context is done.
 func (l *Loop) Run(ctx context.Context) {
 	l.ctx = ctx
 	ticker := time.NewTicker(l.options.Intervals.Tick)
@@ -222,17 +223,17 @@
 	l.watchEndpoints(now)
 	l.exchangeWithPeers(now)
 	l.readPlatform(now)
-	l.keepLease(now)
+	l.runLease(now)
 	l.runController(now)
 	l.publish(now)
-	if now.After(l.next.forget) {
-		l.next.forget = now.Add(time.Minute)
+	if now.After(l.next.expire) {
+		l.next.expire = now.Add(time.Minute)
 		l.tracker.Forget(now, 5*time.Minute)
-		l.forgetNews(now)
+		l.expireQuarantine(now)
 	}
 }
 
-// post hands an event to the loop; it gives up when the loop ends.
+// post sends an event to the loop unless the loop has stopped.
 func (l *Loop) post(e event) {
 	select {
 	case l.events <- e:
@@ -253,26 +254,26 @@
 	}()
 }
 
-// jitter spreads an interval by a tenth, so that nodes that started together
-// drift apart.
+// jitter varies an interval by up to 5% in either direction, so that nodes
+// that started together drift apart.
 func (l *Loop) jitter(d time.Duration) time.Duration {
 	return d - d/20 + time.Duration(l.random.Int64N(int64(d/10)+1))
 }
 
-// leaveEvent marks the node as stopping.
-type leaveEvent struct{ done chan struct{} }
+// stopRequest marks the node as stopping and releases its lease.
+type stopRequest struct{ done chan struct{} }
 
-func (e leaveEvent) apply(l *Loop, now time.Time) {
-	l.leaving = true
+func (e stopRequest) apply(l *Loop, now time.Time) {
+	l.stopping = true
 	l.releaseLease(now, e.done)
 }
 
-// Leave tells peers that this node is stopping and gives up the lease. It
-// returns when the table has it, or when the context ends.
+// Leave marks this node as stopping for its peers and releases the lease. It
+// returns when the lease row has been written or the context is done.
 func (l *Loop) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case l.events <- leaveEvent{done}:
+	case l.events <- stopRequest{done}:
 	case <-ctx.Done():
 		return
 	}
@@ -282,7 +283,7 @@
 	}
 }
 
-// poolLoads turns the traffic's load into its message.
+// poolLoads converts the current load to its wire form.
 func (l *Loop) poolLoads() []*peerpb.PoolLoad {
 	var out []*peerpb.PoolLoad
 	for name, load := range l.options.Load() {
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -10,63 +10,63 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// controller is what a node knows while it holds its data centre's lease.
-type controller struct {
+// controllerState is the state of the leaseholder of a data centre.
+type controllerState struct {
 	epoch        uint64
 	epochVersion uint64
 	// since is when this node became the controller.
 	since time.Time
-	// ledger is nil until the table's rows were read under this epoch;
-	// nothing is decided before.
+	// ledger is nil until the table's rows have been read under this epoch;
+	// no decisions are made before.
 	ledger     *ledger.Ledger
 	loading    bool
 	committing bool
 	queue      []placement.Action
 }
 
-// warmUp is how long a node gathers evidence after its start before it
-// decides anything: until then every member looks lost to it.
-const warmUp = 2 * time.Second
+// warmUpDelay is how long a node collects reports after its start before it
+// plans: until then every member appears lost.
+const warmUpDelay = 2 * time.Second
 
-// runController decides and commits while this node holds the lease.
+// runController plans and commits while this node holds the lease.
 func (l *Loop) runController(now time.Time) {
 	epoch, held := l.lease.Held(now)
-	if !held || l.leaving {
-		l.control.ledger = nil
-		l.control.epoch = 0
-		l.control.queue = nil
+	if !held || l.stopping {
+		l.controller.ledger = nil
+		l.controller.epoch = 0
+		l.controller.queue = nil
 		return
 	}
-	if l.control.epoch != epoch {
-		l.control.epoch = epoch
-		l.control.since = now
-		l.control.ledger = nil
+	if l.controller.epoch != epoch {
+		l.controller.epoch = epoch
+		l.controller.since = now
+		l.controller.ledger = nil
 		l.planner = placement.New(l.options.Placement)
 	}
-	if l.control.committing {
+	if l.controller.committing {
 		return
 	}
-	if l.control.ledger == nil {
+	if l.controller.ledger == nil {
 		l.loadRows()
 		return
 	}
-	if now.Sub(l.start) < warmUp {
+	if now.Sub(l.start) < warmUpDelay {
 		return
 	}
-	if len(l.control.queue) > 0 {
-		action := l.control.queue[0]
-		l.control.queue = l.control.queue[1:]
-		l.carryOut(now, action)
+	if len(l.controller.queue) > 0 {
+		action := l.controller.queue[0]
+		l.controller.queue = l.controller.queue[1:]
+		l.execute(now, action)
 		return
 	}
 	if !now.Before(l.next.plan) {
 		l.next.plan = now.Add(l.intervals.Plan)
-		l.control.queue = l.planner.Step(l.view(now))
+		l.controller.queue = l.planner.Step(l.view(now))
 		l.sendOrders(now)
 	}
 }
 
-// rowsRead is all rows of the data centre.
+// rowsRead is the result of reading all rows of the data centre.
 type rowsRead struct {
 	epoch uint64
 	rows  []platform.Row
@@ -74,11 +74,11 @@
 }
 
 func (l *Loop) loadRows() {
-	if l.control.loading {
+	if l.controller.loading {
 		return
 	}
-	l.control.loading = true
-	epoch := l.control.epoch
+	l.controller.loading = true
+	epoch := l.controller.epoch
 	prefix := ledger.Prefix(l.options.Self.DataCentre)
 	l.async(func(ctx context.Context) event {
 		rows, err := l.options.Platform.Scan(ctx, prefix)
@@ -87,32 +87,32 @@
 }
 
 func (e rowsRead) apply(l *Loop, _ time.Time) {
-	l.control.loading = false
-	if e.err != nil || e.epoch != l.control.epoch {
+	l.controller.loading = false
+	if e.err != nil || e.epoch != l.controller.epoch {
 		return
 	}
 	rows := make([]ledger.Row, 0, len(e.rows))
 	for _, row := range e.rows {
 		rows = append(rows, ledger.Row(row))
 	}
-	loaded, delta, err := ledger.Load(l.options.Self.DataCentre, e.epoch, l.control.epochVersion, rows)
+	loaded, delta, err := ledger.Load(l.options.Self.DataCentre, e.epoch, l.controller.epochVersion, rows)
 	if err != nil {
-		l.log.Error("a row of the table cannot be read", "error", err)
+		l.log.Error("cannot decode a row of the platform's table", "error", err)
 		return
 	}
-	l.control.ledger = loaded
-	l.control.queue = nil
+	l.controller.ledger = loaded
+	l.controller.queue = nil
 	l.applyGroups(delta)
 }
 
-// view gathers what a placement step depends on.
+// view returns the input of a placement step.
 func (l *Loop) view(now time.Time) placement.View {
 	v := placement.View{Now: now, Groups: l.groups.All()}
 	for id, in := range l.instances {
 		status, fresh := l.tracker.Status(now, id)
 		v.Instances = append(v.Instances, placement.Instance{Instance: in, Fresh: fresh, Report: status.Report})
 	}
-	ahead := now.Add(l.options.Placement.LoadTime)
+	soon := now.Add(l.options.Placement.LoadTime)
 	for _, entry := range l.store.Entries() {
 		t := entry.Template
 		if t == nil || t.Model == "" || !t.RunsIn(l.options.Self.DataCentre) {
@@ -124,7 +124,7 @@
 			Role:           t.Role,
 			Size:           t.ReplicaSize,
 			Want:           t.GroupsAt(now),
-			Soon:           t.GroupsAt(ahead),
+			Soon:           t.GroupsAt(soon),
 			WeightDowntime: t.WeightDowntime,
 			WeightStranded: t.WeightStranded,
 		})
@@ -132,16 +132,16 @@
 	return v
 }
 
-// carryOut commits one action, or sends the order that it asks for.
-func (l *Loop) carryOut(now time.Time, a placement.Action) {
+// execute commits one action, or sends its preload order.
+func (l *Loop) execute(now time.Time, a placement.Action) {
 	if a.Kind == placement.ActionPreload {
 		l.orderPreload(now, a)
 		return
 	}
-	change, ok := l.control.ledger.Change(a, l.groups)
+	change, ok := l.controller.ledger.Change(a, l.groups)
 	if !ok {
-		// The view has moved on since the step; the next one sees it.
-		l.control.queue = nil
+		// The groups have changed since the step; the next step sees them.
+		l.controller.queue = nil
 		return
 	}
 	txn := platform.Txn{Deletes: change.Deletes}
@@ -151,15 +151,15 @@
 	for _, w := range change.Writes {
 		txn.Writes = append(txn.Writes, platform.Write(w))
 	}
-	l.control.committing = true
-	epoch := l.control.epoch
+	l.controller.committing = true
+	epoch := l.controller.epoch
 	l.async(func(ctx context.Context) event {
 		outcome, err := l.options.Platform.Commit(ctx, txn)
 		return committed{epoch, a, change, outcome, err}
 	})
 }
 
-// committed is the outcome of an action's transaction.
+// committed is the result of an action's transaction.
 type committed struct {
 	epoch   uint64
 	action  placement.Action
@@ -169,22 +169,22 @@
 }
 
 func (e committed) apply(l *Loop, now time.Time) {
-	l.control.committing = false
-	if l.control.ledger == nil || e.epoch != l.control.epoch {
+	l.controller.committing = false
+	if l.controller.ledger == nil || e.epoch != l.controller.epoch {
 		return
 	}
 	if e.err != nil || !e.outcome.Committed {
-		// What the table holds is not known here any more: read it again
-		// before the next decision.
-		l.control.ledger = nil
+		// The state of the table is unknown now: read it again before the
+		// next decision.
+		l.controller.ledger = nil
 		if !errors.Is(e.err, platform.ErrUnavailable) {
-			l.log.Info("another controller was first", "action", e.action.Kind.String())
+			l.log.Info("lost a race with another controller", "action", e.action.Kind.String())
 		}
 		return
 	}
-	l.applyGroups(l.control.ledger.Committed(e.change, e.outcome.Version))
+	l.applyGroups(l.controller.ledger.Committed(e.change, e.outcome.Version))
 	l.sendOrders(now)
 	group := e.change.Group
-	l.log.Info("changed a group", "action", e.action.Kind.String(), "group", string(group.ID),
+	l.log.Info("group changed", "action", e.action.Kind.String(), "group", string(group.ID),
 		"template", group.Template, "reason", e.action.Reason)
 }
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -14,31 +14,32 @@
 	"github.com/ridgehinge/ridgehinge/pkg/membership"
 )
 
-// link is the state of exchanges with one peer of the same data centre.
-type link struct {
+// peerLink is the state of the exchanges with one peer of the same data
+// centre.
+type peerLink struct {
 	next time.Time
 	busy bool
-	// last is the last exchange that either side began.
-	last time.Time
-	// failures counts exchanges in a row that got no answer.
+	// lastStart is when either side last started an exchange.
+	lastStart time.Time
+	// failures counts consecutive failed exchanges.
 	failures int
 }
 
 // remote is an entry instance of another data centre.
 type remote struct {
-	node     membership.Node
-	next     time.Time
-	busy     bool
-	answered time.Time
-	revision uint64
-	pools    []*peerpb.PoolLoad
+	node       membership.Node
+	next       time.Time
+	busy       bool
+	lastAnswer time.Time
+	revision   uint64
+	pools      []*peerpb.PoolLoad
 }
 
-// remoteLinks is how many entry instances of each other data centre a node
-// keeps a link to.
-const remoteLinks = 2
+// linksPerDataCentre is the number of entry instances of each other data
+// centre with which a node exchanges messages.
+const linksPerDataCentre = 2
 
-// maxBackoff is the longest pause between tries to reach a silent peer.
+// maxBackoff is the maximum delay between exchanges with a silent peer.
 const maxBackoff = 5 * time.Second
 
 func (l *Loop) exchangeWithPeers(now time.Time) {
@@ -46,17 +47,17 @@
 		if node.ID == l.options.Self.ID || node.Address == "" {
 			continue
 		}
-		k := l.links[node.ID]
-		if k == nil {
-			k = &link{}
-			l.links[node.ID] = k
+		link := l.links[node.ID]
+		if link == nil {
+			link = &peerLink{}
+			l.links[node.ID] = link
 		}
-		// Whoever finds the interval over begins; the other side's clock
-		// starts anew with it, so a pair has one exchange an interval.
-		if k.busy || now.Before(k.next) || now.Sub(k.last) < l.intervals.Exchange {
+		// Either side starts an exchange when the interval has passed, and
+		// both restart the interval, so a pair has one exchange per interval.
+		if link.busy || now.Before(link.next) || now.Sub(link.lastStart) < l.intervals.Exchange {
 			continue
 		}
-		l.exchangeWith(now, node, k)
+		l.exchangeWith(now, node, link)
 	}
 	for _, r := range l.remotes {
 		if !r.busy && !now.Before(r.next) {
@@ -65,44 +66,44 @@
 	}
 }
 
-// exchanged is a peer's answer.
-type exchanged struct {
-	id     membership.NodeID
-	answer *peers.Message
-	err    error
+// exchangeDone is the result of an exchange with a peer.
+type exchangeDone struct {
+	id       membership.NodeID
+	response *peers.Message
+	err      error
 }
 
-func (l *Loop) exchangeWith(now time.Time, node membership.Node, k *link) {
-	k.busy = true
-	k.last = now
-	k.next = now.Add(l.jitter(l.intervals.Exchange))
+func (l *Loop) exchangeWith(now time.Time, node membership.Node, link *peerLink) {
+	link.busy = true
+	link.lastStart = now
+	link.next = now.Add(l.jitter(l.intervals.Exchange))
 	configurationRevision, groupsRevision := l.tracker.Revisions(node.ID)
-	message := l.message(now, node.ID, configurationRevision, groupsRevision)
+	message := l.buildMessage(now, node.ID, configurationRevision, groupsRevision)
 	message.LacksInstances = len(l.instances) == 0
 	l.async(func(ctx context.Context) event {
 		answer, err := l.options.Peers.Exchange(ctx, node.Address, message)
-		return exchanged{node.ID, answer, err}
+		return exchangeDone{node.ID, answer, err}
 	})
 }
 
-// message makes one side of an exchange with a peer that holds the revisions
-// given.
-func (l *Loop) message(now time.Time, to membership.NodeID, configurationRevision, groupsRevision uint64) *peers.Message {
+// buildMessage returns this node's message to a peer that has the given
+// revisions.
+func (l *Loop) buildMessage(now time.Time, to membership.NodeID, configurationRevision, groupsRevision uint64) *peers.Message {
 	l.tracker.Expire(now)
-	beat := l.tracker.NextHeartbeat(now, to, membership.LocalState{
-		Leaving:               l.leaving,
+	heartbeat := l.tracker.NextHeartbeat(now, to, membership.LocalState{
+		Leaving:               l.stopping,
 		ConfigurationRevision: uint64(l.store.Revision()),
 		GroupsRevision:        l.groups.Revision(),
-		Demand:                l.ownDemand(),
+		Demand:                l.localDemand(),
 	})
-	message := &peers.Message{Beat: peers.HeartbeatToWire(beat)}
+	message := &peers.Message{Beat: peers.HeartbeatToWire(heartbeat)}
 	if configurationRevision < uint64(l.store.Revision()) {
 		message.Configuration = encodeDelta(l.store.DeltaSince(configuration.Revision(configurationRevision)))
 	}
 	if groupsRevision < l.groups.Revision() {
 		message.Groups = encodeDelta(l.groups.DeltaSince(groupsRevision))
 	}
-	l.tellNews(now, message, to)
+	l.addQuarantineDelta(now, message, to)
 	return message
 }
 
@@ -114,7 +115,7 @@
 	return text
 }
 
-func (l *Loop) ownDemand() map[string]float64 {
+func (l *Loop) localDemand() map[string]float64 {
 	out := map[string]float64{}
 	for name, load := range l.options.Load() {
 		if load.Rate > 0 {
@@ -124,38 +125,38 @@
 	return out
 }
 
-func (e exchanged) apply(l *Loop, now time.Time) {
-	k := l.links[e.id]
-	if k == nil {
+func (e exchangeDone) apply(l *Loop, now time.Time) {
+	link := l.links[e.id]
+	if link == nil {
 		return
 	}
-	k.busy = false
+	link.busy = false
 	if e.err != nil {
-		k.failures++
-		wait := l.intervals.Exchange << min(k.failures, 4)
-		k.next = now.Add(l.jitter(min(wait, maxBackoff)))
+		link.failures++
+		wait := l.intervals.Exchange << min(link.failures, 4)
+		link.next = now.Add(l.jitter(min(wait, maxBackoff)))
 		return
 	}
-	k.failures = 0
-	l.take(now, e.answer)
+	link.failures = 0
+	l.applyPeerMessage(now, e.response)
 }
 
-// take applies what a peer of the same data centre sent.
-func (l *Loop) take(now time.Time, m *peers.Message) {
+// applyPeerMessage applies a message from a peer of the same data centre.
+func (l *Loop) applyPeerMessage(now time.Time, m *peers.Message) {
 	l.tracker.Receive(now, peers.HeartbeatFromWire(m.GetBeat()))
-	l.takeConfiguration(m.GetConfiguration())
-	l.takeGroups(m.GetGroups())
-	l.takeInstances(now, m.GetInstances())
-	l.takeNews(now, m)
+	l.receiveConfiguration(m.GetConfiguration())
+	l.receiveGroups(m.GetGroups())
+	l.receiveInstances(now, m.GetInstances())
+	l.applyQuarantineDelta(now, m)
 }
 
-func (l *Loop) takeConfiguration(text []byte) {
+func (l *Loop) receiveConfiguration(text []byte) {
 	if len(text) == 0 {
 		return
 	}
 	var delta configuration.Delta
 	if err := json.Unmarshal(text, &delta); err != nil {
-		l.log.Warn("a peer sent a bad configuration", "error", err)
+		l.log.Warn("peer sent an invalid configuration", "error", err)
 		return
 	}
 	l.applyConfiguration(delta, "peer")
@@ -167,16 +168,16 @@
 		return
 	}
 	invariant.Check(l.store.Revision() > before, invariant.Forward, "configuration %d after %d", l.store.Revision(), before)
-	l.log.Info("configuration in force", "revision", uint64(delta.To), "source", source)
+	l.log.Info("configuration applied", "revision", uint64(delta.To), "source", source)
 }
 
-func (l *Loop) takeGroups(text []byte) {
+func (l *Loop) receiveGroups(text []byte) {
 	if len(text) == 0 {
 		return
 	}
 	var delta fleet.GroupsDelta
 	if err := json.Unmarshal(text, &delta); err != nil {
-		l.log.Warn("a peer sent bad groups", "error", err)
+		l.log.Warn("peer sent invalid groups", "error", err)
 		return
 	}
 	l.applyGroups(delta)
@@ -191,42 +192,42 @@
 	if revision := l.groups.Revision(); revision > ledger.KeepTombstones {
 		l.groups.DropTombstones(revision - ledger.KeepTombstones)
 	}
-	l.checkOneGroup()
+	l.checkMembersUnique()
 }
 
-// checkOneGroup asserts that no instance is a member of two groups.
-func (l *Loop) checkOneGroup() {
+// checkMembersUnique asserts that no instance is a member of two groups.
+func (l *Loop) checkMembersUnique() {
 	owner := map[fleet.InstanceID]fleet.GroupID{}
 	for _, g := range l.groups.All() {
 		for _, m := range g.Members {
-			other, taken := owner[m.Instance]
-			invariant.Check(!taken, invariant.OneGroup, "instance %s is in %s and %s", m.Instance, other, g.ID)
+			other, exists := owner[m.Instance]
+			invariant.Check(!exists, invariant.OneGroup, "instance %s is in %s and %s", m.Instance, other, g.ID)
 			owner[m.Instance] = g.ID
 		}
 	}
 }
 
-func (l *Loop) takeInstances(now time.Time, text []byte) {
+func (l *Loop) receiveInstances(now time.Time, text []byte) {
 	if len(text) == 0 || len(l.instances) > 0 {
 		return
 	}
 	var list []fleet.Instance
 	if err := json.Unmarshal(text, &list); err != nil {
-		l.log.Warn("a peer sent a bad instance list", "error", err)
+		l.log.Warn("peer sent an invalid instance list", "error", err)
 		return
 	}
 	l.setInstances(now, list)
 }
 
-// exchangeEvent is a peer's message that waits for this node's.
-type exchangeEvent struct {
+// exchangeRequest is a peer's message that waits for a response.
+type exchangeRequest struct {
 	message *peers.Message
 	reply   chan *peers.Message
 }
 
-// Exchange answers a peer.
+// Exchange applies a peer's message and returns this node's.
 func (l *Loop) Exchange(ctx context.Context, m *peers.Message) (*peers.Message, error) {
-	e := exchangeEvent{m, make(chan *peers.Message, 1)}
+	e := exchangeRequest{m, make(chan *peers.Message, 1)}
 	select {
 	case l.events <- e:
 	case <-ctx.Done():
@@ -240,22 +241,22 @@
 	}
 }
 
-func (e exchangeEvent) apply(l *Loop, now time.Time) {
-	beat := e.message.GetBeat()
-	from := fleet.DataCentre(beat.GetFrom().GetDataCentre())
+func (e exchangeRequest) apply(l *Loop, now time.Time) {
+	heartbeat := e.message.GetBeat()
+	from := fleet.DataCentre(heartbeat.GetFrom().GetDataCentre())
 	if from != "" && from != l.options.Self.DataCentre {
-		l.takeConfiguration(e.message.GetConfiguration())
-		l.takeNews(now, e.message)
-		e.reply <- l.remoteMessage(now, membership.NodeID(beat.GetFrom().GetId()), beat.GetConfigurationRevision())
+		l.receiveConfiguration(e.message.GetConfiguration())
+		l.applyQuarantineDelta(now, e.message)
+		e.reply <- l.buildRemoteMessage(now, membership.NodeID(heartbeat.GetFrom().GetId()), heartbeat.GetConfigurationRevision())
 		return
 	}
-	l.take(now, e.message)
-	id := membership.NodeID(beat.GetFrom().GetId())
-	if k := l.links[id]; k != nil {
-		k.last = now
-		k.failures = 0
+	l.applyPeerMessage(now, e.message)
+	id := membership.NodeID(heartbeat.GetFrom().GetId())
+	if link := l.links[id]; link != nil {
+		link.lastStart = now
+		link.failures = 0
 	}
-	answer := l.message(now, id, beat.GetConfigurationRevision(), beat.GetGroupsRevision())
+	answer := l.buildMessage(now, id, heartbeat.GetConfigurationRevision(), heartbeat.GetGroupsRevision())
 	if e.message.GetLacksInstances() {
 		answer.Instances = encodeDelta(l.instanceList())
 	}
@@ -270,9 +271,9 @@
 	return out
 }
 
-// remoteMessage is what nodes of different data centres tell each other:
-// configuration, what could be forwarded here, and which requests end endpoints.
-func (l *Loop) remoteMessage(now time.Time, to membership.NodeID, theirs uint64) *peers.Message {
+// buildRemoteMessage returns this node's message to a node of another data
+// centre: configuration, pool loads for forwarding, and quarantined requests.
+func (l *Loop) buildRemoteMessage(now time.Time, to membership.NodeID, peerRevision uint64) *peers.Message {
 	message := &peers.Message{
 		Beat: &peerpb.Beat{
 			From: &peerpb.Node{
@@ -282,46 +283,47 @@
 			},
 			Incarnation:           l.options.Incarnation,
 			ConfigurationRevision: uint64(l.store.Revision()),
-			Leaving:               l.leaving,
+			Leaving:               l.stopping,
 		},
 		Pools: l.poolLoads(),
 	}
-	if theirs < uint64(l.store.Revision()) {
-		message.Configuration = encodeDelta(l.store.DeltaSince(configuration.Revision(theirs)))
+	if peerRevision < uint64(l.store.Revision()) {
+		message.Configuration = encodeDelta(l.store.DeltaSince(configuration.Revision(peerRevision)))
 	}
-	l.tellNews(now, message, to)
+	l.addQuarantineDelta(now, message, to)
 	return message
 }
 
-// remoteExchanged is the answer of a node of another data centre.
-type remoteExchanged struct {
-	remote *remote
-	answer *peers.Message
-	err    error
+// remoteExchangeDone is the result of an exchange with a node of another data
+// centre.
+type remoteExchangeDone struct {
+	remote   *remote
+	response *peers.Message
+	err      error
 }
 
 func (l *Loop) exchangeRemote(now time.Time, r *remote) {
 	r.busy = true
 	r.next = now.Add(l.jitter(l.intervals.Remote))
-	message := l.remoteMessage(now, r.node.ID, r.revision)
+	message := l.buildRemoteMessage(now, r.node.ID, r.revision)
 	l.async(func(ctx context.Context) event {
 		answer, err := l.options.Peers.Exchange(ctx, r.node.Address, message)
-		return remoteExchanged{r, answer, err}
+		return remoteExchangeDone{r, answer, err}
 	})
 }
 
-func (e remoteExchanged) apply(l *Loop, now time.Time) {
+func (e remoteExchangeDone) apply(l *Loop, now time.Time) {
 	e.remote.busy = false
 	if e.err != nil {
 		return
 	}
-	beat := e.answer.GetBeat()
-	e.remote.revision = beat.GetConfigurationRevision()
-	e.remote.answered = now
-	e.remote.pools = e.answer.GetPools()
-	if beat.GetLeaving() {
-		e.remote.answered = time.Time{}
+	heartbeat := e.response.GetBeat()
+	e.remote.revision = heartbeat.GetConfigurationRevision()
+	e.remote.lastAnswer = now
+	e.remote.pools = e.response.GetPools()
+	if heartbeat.GetLeaving() {
+		e.remote.lastAnswer = time.Time{}
 	}
-	l.takeConfiguration(e.answer.GetConfiguration())
-	l.takeNews(now, e.answer)
+	l.receiveConfiguration(e.response.GetConfiguration())
+	l.applyQuarantineDelta(now, e.response)
 }
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -10,9 +10,9 @@
 	"github.com/ridgehinge/ridgehinge/pkg/ledger"
 )
 
-// keepLease does what the lease machine asks for.
-func (l *Loop) keepLease(now time.Time) {
-	if l.leaving {
+// runLease executes the next action of the lease machine.
+func (l *Loop) runLease(now time.Time) {
+	if l.stopping {
 		return
 	}
 	action := l.lease.Next(now)
@@ -24,7 +24,7 @@
 	}
 }
 
-// leaseRead is the lease as the table has it.
+// leaseRead is the result of reading the lease row.
 type leaseRead struct {
 	row          lease.Row
 	version      uint64
@@ -52,13 +52,13 @@
 		l.lease.StoreUnavailable()
 		return
 	}
-	l.control.epochVersion = e.epochVersion
+	l.controller.epochVersion = e.epochVersion
 	l.lease.ReadDone(now, e.row, e.version)
 }
 
-// leaseWritten is the outcome of an acquisition, renewal or release.
+// leaseWritten is the result of an acquisition, renewal or release.
 type leaseWritten struct {
-	asked   time.Time
+	sentAt  time.Time
 	action  lease.Action
 	outcome platform.Outcome
 	err     error
@@ -73,13 +73,13 @@
 	}
 	if action.Kind == lease.ActionAcquire {
 		row := ledger.Epoch{Epoch: action.Row.Epoch, Holder: action.Row.Holder}
-		txn.Conditions = append(txn.Conditions, platform.Condition{Key: ledger.EpochKey(dc), Version: l.control.epochVersion})
+		txn.Conditions = append(txn.Conditions, platform.Condition{Key: ledger.EpochKey(dc), Version: l.controller.epochVersion})
 		txn.Writes = append(txn.Writes, platform.Write{Key: ledger.EpochKey(dc), Value: row})
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	l.async(func(ctx context.Context) event {
 		outcome, err := l.options.Platform.Commit(ctx, txn)
-		return leaseWritten{asked, action, outcome, err, done}
+		return leaseWritten{sentAt, action, outcome, err, done}
 	})
 }
 
@@ -92,15 +92,15 @@
 		l.lease.StoreUnavailable()
 		return
 	}
-	l.lease.WriteDone(e.asked, e.action.Row, e.outcome.Version, e.outcome.Committed)
+	l.lease.WriteDone(e.sentAt, e.action.Row, e.outcome.Version, e.outcome.Committed)
 	if e.outcome.Committed && e.action.Kind == lease.ActionAcquire {
-		l.control.epochVersion = e.outcome.Version
+		l.controller.epochVersion = e.outcome.Version
 		l.log.Info("acquired the lease", "epoch", e.action.Row.Epoch)
 	}
 }
 
-// releaseLease gives the lease up so that another node need not wait for it
-// to lapse.
+// releaseLease releases the lease so that another node need not wait for it
+// to expire.
 func (l *Loop) releaseLease(now time.Time, done chan struct{}) {
 	action, held := l.lease.Release(now)
 	if !held {
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -10,10 +10,10 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// sendOrders brings endpoints into line with the committed groups. An order
-// is repeated until the endpoint reports what it should; it carries the fence
-// of the group, so that a late or doubled one does no harm on endpoints that
-// check it.
+// sendOrders sends orders to endpoints whose reports differ from the committed
+// groups. An order is sent again until the endpoint's report matches. It
+// carries the group's fencing token, so that endpoints that check it ignore
+// late or duplicate orders.
 func (l *Loop) sendOrders(now time.Time) {
 	member := map[fleet.InstanceID]bool{}
 	for _, g := range l.groups.All() {
@@ -35,8 +35,8 @@
 	if !fresh || r.Incarnation != m.Incarnation || g.Matches(m, r) {
 		return
 	}
-	under := r.Phase == fleet.PhaseLoading && r.Group == g.ID && r.Generation == g.Generation
-	if under {
+	loading := r.Phase == fleet.PhaseLoading && r.Group == g.ID && r.Generation == g.Generation
+	if loading {
 		return
 	}
 	l.order(now, m.Instance, engine.Order{
@@ -51,8 +51,8 @@
 	})
 }
 
-// orderRelease frees an endpoint that still reports a group which it is no
-// member of.
+// orderRelease releases an endpoint that still reports a group of which it is
+// no longer a member.
 func (l *Loop) orderRelease(now time.Time, id fleet.InstanceID) {
 	status, fresh := l.tracker.Status(now, id)
 	if !fresh || status.Report.Group == "" {
@@ -67,7 +67,7 @@
 
 func (l *Loop) orderPreload(now time.Time, a placement.Action) {
 	status, fresh := l.tracker.Status(now, a.Instance)
-	if !fresh || l.control.ledger.Owner(a.Instance) != "" {
+	if !fresh || l.controller.ledger.Owner(a.Instance) != "" {
 		return
 	}
 	l.order(now, a.Instance, engine.Order{
@@ -78,39 +78,39 @@
 	})
 }
 
-// fence is for orders outside a group: above all that were committed, below
-// the next that will be.
+// fence returns the fencing token of orders outside a group: not lower than
+// those of all committed groups and lower than that of the next change.
 func (l *Loop) fence() fleet.Fence {
-	return fleet.Fence{Epoch: l.control.epoch, Generation: l.groups.Revision()}
+	return fleet.Fence{Epoch: l.controller.epoch, Generation: l.groups.Revision()}
 }
 
 // order sends an order unless the last one to the endpoint is too recent. An
 // endpoint that does not check fences gets none while an order of an earlier
-// controller may still be under way.
+// controller may still be in flight.
 func (l *Loop) order(now time.Time, id fleet.InstanceID, o engine.Order) {
 	in, listed := l.instances[id]
 	if !listed || now.Sub(l.orders[id]) < l.intervals.Order {
 		return
 	}
-	if !in.ChecksFences && now.Sub(l.control.since) < l.options.UnfencedWait {
+	if !in.ChecksFences && now.Sub(l.controller.since) < l.options.UnfencedWait {
 		return
 	}
 	l.orders[id] = now
-	epoch := l.control.epoch
+	epoch := l.controller.epoch
 	l.async(func(ctx context.Context) event {
-		return ordered{id, epoch, l.options.Engine.Order(ctx, in.Address, o)}
+		return orderSent{id, epoch, l.options.Engine.Order(ctx, in.Address, o)}
 	})
 }
 
-// ordered is the answer of an endpoint to an order.
-type ordered struct {
+// orderSent is the result of sending an order.
+type orderSent struct {
 	id    fleet.InstanceID
 	epoch uint64
 	err   error
 }
 
-func (e ordered) apply(l *Loop, _ time.Time) {
+func (e orderSent) apply(l *Loop, _ time.Time) {
 	if errors.Is(e.err, engine.ErrStale) {
-		l.log.Info("an endpoint has a newer order", "instance", string(e.id), "epoch", e.epoch)
+		l.log.Info("endpoint rejected an outdated order", "instance", string(e.id), "epoch", e.epoch)
 	}
 }
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -8,51 +8,51 @@
 	"github.com/ridgehinge/ridgehinge/pkg/membership"
 )
 
-// peerNews is what this node and one peer have told each other of requests that end endpoints.
-type peerNews struct {
-	// incarnation is the peer's life that was told.
-	incarnation uint64
-	link        delta.Cursor
-	heard       time.Time
+// quarantineSync tracks which quarantine records this node and one peer have exchanged.
+type quarantineSync struct {
+	// incarnation is the peer's incarnation that has received them.
+	incarnation  uint64
+	cursor       delta.Cursor
+	lastReceived time.Time
 }
 
-// newsKept is for how long it is remembered what a silent peer was told; it is told all
-// again if it comes back later.
-const newsKept = 5 * time.Minute
+// quarantineSyncTTL is how long the state for a silent peer is kept; a peer that returns
+// later gets all records again.
+const quarantineSyncTTL = 5 * time.Minute
 
-// tellNews adds to a message what the peer has not heard yet of requests that end endpoints:
-// they come again at any node.
-func (l *Loop) tellNews(now time.Time, m *peers.Message, to membership.NodeID) {
-	m.Quarantine = l.options.Quarantine.Delta(&l.newsOf(now, to).link, now)
+// addQuarantineDelta adds the quarantine records that the peer lacks. Every node needs them,
+// because a caller may retry a request at any node.
+func (l *Loop) addQuarantineDelta(now time.Time, m *peers.Message, to membership.NodeID) {
+	m.Quarantine = l.options.Quarantine.Delta(&l.quarantineSyncOf(now, to).cursor, now)
 }
 
-// takeNews takes the same of a peer's message.
-func (l *Loop) takeNews(now time.Time, m *peers.Message) {
+// applyQuarantineDelta applies the quarantine records of a peer's message.
+func (l *Loop) applyQuarantineDelta(now time.Time, m *peers.Message) {
 	id := membership.NodeID(m.GetBeat().GetFrom().GetId())
-	n := l.newsOf(now, id)
-	if incarnation := m.GetBeat().GetIncarnation(); incarnation != n.incarnation {
-		// A new life has nothing of what the last one was told.
-		*n = peerNews{incarnation: incarnation}
+	sync := l.quarantineSyncOf(now, id)
+	if incarnation := m.GetBeat().GetIncarnation(); incarnation != sync.incarnation {
+		// A new incarnation has none of the records sent to the previous one.
+		*sync = quarantineSync{incarnation: incarnation}
 	}
-	n.heard = now
-	l.options.Quarantine.ApplyDelta(&n.link, m.GetQuarantine(), "node "+string(id), now)
+	sync.lastReceived = now
+	l.options.Quarantine.ApplyDelta(&sync.cursor, m.GetQuarantine(), "node "+string(id), now)
 }
 
-func (l *Loop) newsOf(now time.Time, id membership.NodeID) *peerNews {
-	n := l.news[id]
-	if n == nil {
-		n = &peerNews{heard: now}
-		l.news[id] = n
+func (l *Loop) quarantineSyncOf(now time.Time, id membership.NodeID) *quarantineSync {
+	sync := l.quarantineSyncs[id]
+	if sync == nil {
+		sync = &quarantineSync{lastReceived: now}
+		l.quarantineSyncs[id] = sync
 	}
-	return n
+	return sync
 }
 
-// forgetNews drops what is over.
-func (l *Loop) forgetNews(now time.Time) {
+// expireQuarantine drops expired records and the state for silent peers.
+func (l *Loop) expireQuarantine(now time.Time) {
 	l.options.Quarantine.Expire(now)
-	for id, n := range l.news {
-		if now.Sub(n.heard) > newsKept {
-			delete(l.news, id)
+	for id, sync := range l.quarantineSyncs {
+		if now.Sub(sync.lastReceived) > quarantineSyncTTL {
+			delete(l.quarantineSyncs, id)
 		}
 	}
 }
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -12,53 +12,53 @@
 	"github.com/ridgehinge/ridgehinge/pkg/quarantine"
 )
 
-// A request that ends endpoints comes again at any node. What one node has found reaches
-// those of its own data centre and of others, also a node that has begun anew.
-func TestRequestsThatEndEndpointsAreToldToAllNodes(t *testing.T) {
+// A caller may retry a crashing request at any node, so the quarantine of one node must
+// reach all nodes of its own and other data centres, including restarted ones.
+func TestQuarantine_ReachesAllNodes(t *testing.T) {
 	for _, dataCentre := range []fleet.DataCentre{"dc", "another"} {
 		t.Run(string(dataCentre), func(t *testing.T) {
 			now := time.Now()
 			f := quarantine.Fingerprint{1}
-			teller := newBenchLoop(0)
-			var ends []quarantine.Crash
-			for life := range quarantine.Incarnation(quarantine.MaxCrashes) {
-				ends = append(ends, quarantine.Crash{Incarnation: life, At: now})
+			sender := newTestLoop(0)
+			var crashes []quarantine.Crash
+			for crashed := range quarantine.Incarnation(quarantine.MaxCrashes) {
+				crashes = append(crashes, quarantine.Crash{Incarnation: crashed, At: now})
 			}
-			teller.options.Quarantine.Merge([]quarantine.Record{{Fingerprint: f, Crashes: ends}}, "test", now)
+			sender.options.Quarantine.Merge([]quarantine.Record{{Fingerprint: f, Crashes: crashes}}, "test", now)
 			for incarnation := range uint64(2) {
-				hearer := newBenchLoop(1)
-				hearer.options.Incarnation += incarnation
-				hearer.options.Self.DataCentre = dataCentre
-				asked := hearer.message(now, teller.options.Self.ID, 0, 0)
-				if dataCentre != teller.options.Self.DataCentre {
-					asked = hearer.remoteMessage(now, teller.options.Self.ID, 0)
+				receiver := newTestLoop(1)
+				receiver.options.Incarnation += incarnation
+				receiver.options.Self.DataCentre = dataCentre
+				request := receiver.buildMessage(now, sender.options.Self.ID, 0, 0)
+				if dataCentre != sender.options.Self.DataCentre {
+					request = receiver.buildRemoteMessage(now, sender.options.Self.ID, 0)
 				}
-				asked.Beat.Incarnation = hearer.options.Incarnation
-				hearer.takeNews(now, answerOf(teller, asked, now))
-				_, admitted := hearer.options.Quarantine.Allowed(f, now)
-				require.False(t, admitted)
-				again := hearer.remoteMessage(now, teller.options.Self.ID, 0)
-				again.Beat.Incarnation = hearer.options.Incarnation
-				require.Empty(t, answerOf(teller, again, now).GetQuarantine().GetRecords(), "what was heard is not told again")
+				request.Beat.Incarnation = receiver.options.Incarnation
+				receiver.applyQuarantineDelta(now, exchangeWithLoop(sender, request, now))
+				_, allowed := receiver.options.Quarantine.Allowed(f, now)
+				require.False(t, allowed)
+				next := receiver.buildRemoteMessage(now, sender.options.Self.ID, 0)
+				next.Beat.Incarnation = receiver.options.Incarnation
+				require.Empty(t, exchangeWithLoop(sender, next, now).GetQuarantine().GetRecords(), "records that the peer has received are not sent again")
 			}
 		})
 	}
 }
 
-// answerOf returns what a loop answers a peer.
-func answerOf(l *Loop, m *peers.Message, now time.Time) *peers.Message {
-	e := exchangeEvent{m, make(chan *peers.Message, 1)}
+// exchangeWithLoop sends a message to a loop and returns its response.
+func exchangeWithLoop(l *Loop, m *peers.Message, now time.Time) *peers.Message {
+	e := exchangeRequest{m, make(chan *peers.Message, 1)}
 	e.apply(l, now)
 	return <-e.reply
 }
 
-// What was told to nodes that are gone is forgotten.
-func TestNewsOfNodesThatAreGoneIsForgotten(t *testing.T) {
-	l := newBenchLoop(0)
+// The state for removed nodes must not accumulate.
+func TestQuarantine_ForgetsRemovedNodes(t *testing.T) {
+	l := newTestLoop(0)
 	now := time.Now()
-	l.newsOf(now, membership.NodeID("gone"))
-	l.forgetNews(now.Add(newsKept))
-	require.Len(t, l.news, 1)
-	l.forgetNews(now.Add(2 * newsKept))
-	require.Empty(t, l.news)
+	l.quarantineSyncOf(now, membership.NodeID("gone"))
+	l.expireQuarantine(now.Add(quarantineSyncTTL))
+	require.Len(t, l.quarantineSyncs, 1)
+	l.expireQuarantine(now.Add(2 * quarantineSyncTTL))
+	require.Empty(t, l.quarantineSyncs)
 }
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -16,17 +16,17 @@
 	"github.com/ridgehinge/ridgehinge/pkg/membership"
 )
 
-// reads is the state of the periodic reads of the platform.
-type reads struct {
+// platformReads is the state of the periodic reads of the platform.
+type platformReads struct {
 	nextHead, nextInstances time.Time
 	busyHead, busyInstances bool
 	// behind is set when a head read found groups that this node lacks; the
-	// next one reads them from the table if no peer has brought them.
+	// next one reads them from the table if no peer has sent them by then.
 	behind bool
-	// listVersion is the version of the instance list that is held.
+	// listVersion is the version of the last instance list.
 	listVersion uint64
-	// answered is when the table last answered.
-	answered time.Time
+	// lastAnswer is when the table last responded.
+	lastAnswer time.Time
 }
 
 func (l *Loop) readPlatform(now time.Time) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// headRead is the answer to a read of the head rows, with what they showed
-// to be missing here.
+// headRead is the result of reading the head rows, with the changes that this
+// node lacks.
 type headRead struct {
 	configuration configuration.Delta
 	groups        fleet.GroupsDelta
@@ -64,7 +64,7 @@
 	})
 }
 
-// fetchHead runs outside the loop's goroutine and touches none of its state.
+// fetchHead runs outside the loop's goroutine and must not access its state.
 func (l *Loop) fetchHead(ctx context.Context, have configuration.Revision, haveGroups uint64, behind bool) headRead {
 	dc := l.options.Self.DataCentre
 	rows, err := l.options.Platform.Get(ctx, confstore.HeadKey, ledger.HeadKey(dc))
@@ -91,8 +91,8 @@
 	return out
 }
 
-// fetchGroups reads all group rows. Rows newer than the head that was read
-// before are kept as well; they only bring later news earlier.
+// fetchGroups reads all group rows. Rows newer than the given head are
+// included; they only apply a later change early.
 func (l *Loop) fetchGroups(ctx context.Context, head uint64) (fleet.GroupsDelta, error) {
 	delta := fleet.GroupsDelta{To: head, Full: true}
 	rows, err := l.options.Platform.Scan(ctx, ledger.GroupPrefix(l.options.Self.DataCentre))
@@ -112,17 +112,17 @@
 func (e headRead) apply(l *Loop, now time.Time) {
 	l.reads.busyHead = false
 	if e.err != nil {
-		l.log.Debug("the table did not answer", "error", e.err)
+		l.log.Debug("cannot read the platform's table", "error", e.err)
 		return
 	}
-	l.reads.answered = now
+	l.reads.lastAnswer = now
 	l.applyConfiguration(e.configuration, "table")
 	l.applyGroups(e.groups)
-	// A peer brings most changes sooner and cheaper than a scan.
+	// Peers deliver most changes sooner and at lower cost than a scan.
 	l.reads.behind = e.head > l.groups.Revision()
 }
 
-// instancesRead is the platform's instance list.
+// instancesRead is the result of reading the platform's instance list.
 type instancesRead struct {
 	list    []fleet.Instance
 	version uint64
@@ -133,7 +133,7 @@
 func (e instancesRead) apply(l *Loop, now time.Time) {
 	l.reads.busyInstances = false
 	if e.err != nil {
-		l.log.Debug("the instance list did not come", "error", e.err)
+		l.log.Debug("cannot read the instance list", "error", e.err)
 		return
 	}
 	l.reads.listVersion = e.version
@@ -141,51 +141,51 @@
 		l.setInstances(now, e.list)
 		return
 	}
-	l.dropEnded(now)
+	l.dropUnlisted(now)
 }
 
-// dropEnded forgets instances that were kept only because they answered.
-func (l *Loop) dropEnded(now time.Time) {
+// dropUnlisted removes unlisted instances that no longer respond.
+func (l *Loop) dropUnlisted(now time.Time) {
 	for id := range l.unlisted {
 		if _, fresh := l.tracker.Status(now, id); !fresh {
 			delete(l.unlisted, id)
 			delete(l.instances, id)
-			l.listed = now
+			l.instancesChangedAt = now
 		}
 	}
 }
 
-// setInstances takes a new list. An instance that is no longer listed but
-// still answers is kept as leaving: the list may run ahead of the instance's
-// end, and a group must not lose a member before that.
+// setInstances replaces the list. An instance that is no longer listed but
+// still responds is kept as draining: it may be removed from the list before
+// it terminates, and a group must not lose a member before that.
 func (l *Loop) setInstances(now time.Time, list []fleet.Instance) {
-	mine := map[fleet.InstanceID]fleet.Instance{}
+	endpoints := map[fleet.InstanceID]fleet.Instance{}
 	var entries []fleet.Instance
 	for _, in := range list {
 		switch {
 		case in.Kind == fleet.KindEntry:
 			entries = append(entries, in)
 		case in.DataCentre == l.options.Self.DataCentre:
-			mine[in.ID] = in
+			endpoints[in.ID] = in
 		}
 	}
 	clear(l.unlisted)
 	for id, in := range l.instances {
-		if _, listed := mine[id]; listed {
+		if _, listed := endpoints[id]; listed {
 			continue
 		}
 		if _, fresh := l.tracker.Status(now, id); fresh {
 			in.Draining = true
-			mine[id] = in
+			endpoints[id] = in
 			l.unlisted[id] = true
 		}
 	}
-	if !sameInstances(l.instances, mine) {
-		l.listed = now
+	if !sameInstances(l.instances, endpoints) {
+		l.instancesChangedAt = now
 	}
-	l.instances = mine
+	l.instances = endpoints
 	if len(entries) > 0 {
-		l.setKnown(now, entries)
+		l.setKnownNodes(now, entries)
 	}
 }
 
@@ -201,9 +201,9 @@
 	return true
 }
 
-// setKnown takes the entry instances that the platform lists, besides those
-// of the settings.
-func (l *Loop) setKnown(now time.Time, entries []fleet.Instance) {
+// setKnownNodes sets the known nodes to the entry instances listed by the
+// platform and those in the settings.
+func (l *Loop) setKnownNodes(now time.Time, entries []fleet.Instance) {
 	nodes := slices.Clone(l.options.Bootstrap)
 	for _, in := range entries {
 		nodes = append(nodes, membership.Node{
@@ -216,8 +216,9 @@
 	l.setRemotes(nodes)
 }
 
-// setRemotes picks, by a hash with this node's name, the few nodes of each
-// other data centre to keep a link to, so that the links are spread.
+// setRemotes picks the nodes of each other data centre to exchange messages
+// with. The choice depends on a hash with this node's id, which spreads the
+// links.
 func (l *Loop) setRemotes(nodes []membership.Node) {
 	byCentre := map[fleet.DataCentre][]membership.Node{}
 	for _, node := range nodes {
@@ -228,10 +229,10 @@
 	chosen := map[membership.NodeID]*remote{}
 	for _, list := range byCentre {
 		slices.SortFunc(list, func(a, b membership.Node) int {
-			return compareScore(l.options.Self.ID, a, b)
+			return compareByHash(l.options.Self.ID, a, b)
 		})
 		list = slices.CompactFunc(list, func(a, b membership.Node) bool { return a.ID == b.ID })
-		for _, node := range list[:min(len(list), remoteLinks)] {
+		for _, node := range list[:min(len(list), linksPerDataCentre)] {
 			r := l.remotes[node.ID]
 			if r == nil || r.node != node {
 				r = &remote{node: node}
@@ -242,7 +243,7 @@
 	l.remotes = chosen
 }
 
-func compareScore(self membership.NodeID, a, b membership.Node) int {
+func compareByHash(self membership.NodeID, a, b membership.Node) int {
 	x := xxh3.HashString(string(self) + "/" + string(a.ID))
 	y := xxh3.HashString(string(self) + "/" + string(b.ID))
 	switch {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -11,23 +11,23 @@
 	"github.com/ridgehinge/ridgehinge/pkg/routing"
 )
 
-// Snapshot is what traffic needs of the control state. It is immutable.
+// Snapshot is the control state that request handling needs. It is immutable.
 type Snapshot struct {
 	CreatedAt time.Time
-	// Ready is set once configuration is in force here.
+	// Ready is set once this node has a configuration, until it stops.
 	Ready         bool
 	Configuration configuration.Revision
 	Groups        uint64
-	// Workspaces is by the hash of the bearer key.
+	// Workspaces is keyed by the hash of the bearer key.
 	Workspaces map[string]Workspace
-	// Targets may be sent new requests.
+	// Targets accept new requests.
 	Targets []routing.Target
 	// Complete has every group and service endpoint whose members are all present, including
-	// those that drain, because their requests continue.
+	// draining ones, because their requests continue.
 	Complete map[fleet.GroupID]CompleteGroup
-	// Slots is how many requests of each pool this node may run at once.
+	// Slots is the maximum number of this node's concurrent requests by pool.
 	Slots map[string]int
-	// Remotes are entry instances of other data centres that answered lately.
+	// Remotes are reachable entry instances of other data centres.
 	Remotes []Remote
 	// IsController is set while this node holds the lease of its data centre.
 	IsController bool
@@ -45,7 +45,7 @@
 	Template *configuration.Template
 }
 
-// Remote is an entry instance of another data centre, and what it had free.
+// Remote is an entry instance of another data centre and its load.
 type Remote struct {
 	Node  membership.Node
 	Pools map[string]PoolLoad
@@ -60,34 +60,34 @@
 // ServiceGroup names the single-endpoint group of a plain service instance.
 func ServiceGroup(id fleet.InstanceID) fleet.GroupID { return fleet.GroupID("service/" + string(id)) }
 
-// match is since when an endpoint has matched its place in a group.
+// match records since when an endpoint has matched its group.
 type match struct {
 	group      fleet.GroupID
 	generation uint64
 	since      time.Time
 }
 
-// unfencedSettle is how long an endpoint that does not check fences must have
-// matched before its group serves: a late order of an earlier controller
-// would show within that time.
-const unfencedSettle = time.Second
+// unfencedMatchDelay is how long an endpoint that does not check fences must
+// have matched before its group serves: a late order of an earlier controller
+// would take effect within that time.
+const unfencedMatchDelay = time.Second
 
-// remoteTTL is how long an answer of another data centre counts.
+// remoteTTL is how long a response of another data centre is valid.
 const remoteTTL = 6 * time.Second
 
-// state is what a snapshot depends on, beside time.
+// state is what a snapshot depends on, besides time.
 type state struct {
-	reports       uint64
-	configuration configuration.Revision
-	groups        uint64
-	listed        time.Time
-	leaving       bool
+	reports            uint64
+	configuration      configuration.Revision
+	groups             uint64
+	instancesChangedAt time.Time
+	stopping           bool
 }
 
-// publish makes a snapshot soon after a change, and else only as often as the
-// evidence in the last one has to be lengthened.
+// publish publishes a snapshot after a change, or when the Refresh interval
+// has passed, to extend the validity of the targets.
 func (l *Loop) publish(now time.Time) {
-	s := state{l.tracker.Changes(), l.store.Revision(), l.groups.Revision(), l.listed, l.leaving}
+	s := state{l.tracker.Changes(), l.store.Revision(), l.groups.Revision(), l.instancesChangedAt, l.stopping}
 	changed := s != l.published && !now.Before(l.next.publish)
 	if !changed && now.Before(l.next.refresh) {
 		return
@@ -99,13 +99,13 @@
 }
 
 func (l *Loop) publishNow(now time.Time) {
-	_, controls := l.lease.Held(now)
+	_, isController := l.lease.Held(now)
 	s := &Snapshot{
-		IsController:  controls,
+		IsController:  isController,
 		CreatedAt:     now,
 		Configuration: l.store.Revision(),
 		Groups:        l.groups.Revision(),
-		Ready:         l.store.Revision() > 0 && !l.leaving,
+		Ready:         l.store.Revision() > 0 && !l.stopping,
 		Workspaces:    l.workspaces(),
 		Complete:      map[fleet.GroupID]CompleteGroup{},
 		Remotes:       l.remoteList(now),
@@ -136,14 +136,14 @@
 	return out
 }
 
-// targets lists the groups all of whose members are there, by evidence, and
-// the plain service endpoints, and notes all that are whole.
-func (l *Loop) targets(now time.Time, whole map[fleet.GroupID]CompleteGroup) []routing.Target {
+// targets returns the groups and plain service endpoints that accept new
+// requests, and adds all that are complete to the map.
+func (l *Loop) targets(now time.Time, complete map[fleet.GroupID]CompleteGroup) []routing.Target {
 	var out []routing.Target
 	for _, g := range l.groups.All() {
 		t, state := l.groupTarget(now, g)
 		if state != groupDown {
-			whole[g.ID] = CompleteGroup{t.Generation, t.Until}
+			complete[g.ID] = CompleteGroup{t.Generation, t.Until}
 		}
 		if state == groupOpen {
 			out = append(out, t)
@@ -158,7 +158,7 @@
 			continue
 		}
 		t := serviceTarget(in, status)
-		whole[t.Group] = CompleteGroup{t.Generation, t.Until}
+		complete[t.Group] = CompleteGroup{t.Generation, t.Until}
 		if !t.Draining {
 			out = append(out, t)
 		}
@@ -182,13 +182,13 @@
 	}
 }
 
-// groupState is what traffic may do with a group.
+// groupState states which requests a group may serve.
 type groupState uint8
 
 const (
-	// groupDown: a member is not there, by evidence.
+	// groupDown: a member is missing.
 	groupDown groupState = iota
-	// groupClosed: all members are there, but new requests are not sent.
+	// groupClosed: all members are present, but new requests are not sent.
 	groupClosed
 	// groupOpen: new requests may be sent.
 	groupOpen
@@ -244,28 +244,28 @@
 	if in.ChecksFences {
 		return true
 	}
-	known := l.matched[m.Instance]
-	if known.group != g.ID || known.generation != g.Generation {
+	previous := l.matched[m.Instance]
+	if previous.group != g.ID || previous.generation != g.Generation {
 		l.matched[m.Instance] = match{g.ID, g.Generation, now}
 		return false
 	}
-	return now.Sub(known.since) >= unfencedSettle
+	return now.Sub(previous.since) >= unfencedMatchDelay
 }
 
-// slots shares each pool's slots among the live nodes by their recent
-// demand. Every node gets a little, so that a first request finds room.
+// slots divides each pool's slots among the live nodes by their recent
+// demand. Every node gets at least one, so that a first request is admitted.
 func (l *Loop) slots(now time.Time, targets []routing.Target) map[string]int {
 	total := map[string]int{}
 	for _, t := range targets {
 		total[t.Pool] += t.Slots
 	}
 	nodes := float64(len(l.tracker.Live(now)))
-	theirs := l.tracker.Demand(now)
+	peerDemand := l.tracker.Demand(now)
 	loads := l.options.Load()
 	out := map[string]int{}
 	for pool, slots := range total {
-		mine := loads[pool].Rate
-		share := (mine + 1) / (mine + theirs[pool] + nodes)
+		localRate := loads[pool].Rate
+		share := (localRate + 1) / (localRate + peerDemand[pool] + nodes)
 		out[pool] = max(1, int(math.Ceil(float64(slots)*share)))
 	}
 	return out
@@ -274,7 +274,7 @@
 func (l *Loop) remoteList(now time.Time) []Remote {
 	var out []Remote
 	for _, r := range l.remotes {
-		if now.Sub(r.answered) > remoteTTL {
+		if now.Sub(r.lastAnswer) > remoteTTL {
 			continue
 		}
 		pools := map[string]PoolLoad{}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -9,7 +9,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Status is what operators see of one data centre, as one node knows it.
+// Status is one node's view of its data centre, for operators.
 type Status struct {
 	Node          string                 `json:"node"`
 	DataCentre    fleet.DataCentre       `json:"data_centre"`
@@ -17,8 +17,8 @@
 	Groups        uint64                 `json:"groups_revision"`
 	Controller    string                 `json:"controller"`
 	Epoch         uint64                 `json:"epoch"`
-	// PlatformAge is the time since the table last answered, in seconds; -1
-	// says that it never did.
+	// PlatformAge is the time since the table last responded, in seconds, or
+	// -1 if it never did.
 	PlatformAge float64          `json:"platform_age_seconds"`
 	Nodes       []NodeStatus     `json:"nodes"`
 	Instances   []InstanceStatus `json:"instances"`
@@ -47,7 +47,7 @@
 // GroupStatus is one replica group.
 type GroupStatus struct {
 	fleet.Group
-	// Serving tells whether the node sends new requests to the group.
+	// Serving is set if the node sends new requests to the group.
 	Serving bool `json:"serving"`
 }
 
@@ -59,11 +59,11 @@
 	Configuration uint64           `json:"configuration_revision"`
 }
 
-type statusEvent struct{ reply chan Status }
+type statusRequest struct{ reply chan Status }
 
-// Status asks the loop for the data centre's state.
+// Status returns the loop's view of the data centre.
 func (l *Loop) Status(ctx context.Context) (Status, error) {
-	e := statusEvent{make(chan Status, 1)}
+	e := statusRequest{make(chan Status, 1)}
 	select {
 	case l.events <- e:
 	case <-ctx.Done():
@@ -77,7 +77,7 @@
 	}
 }
 
-func (e statusEvent) apply(l *Loop, now time.Time) { e.reply <- l.status(now) }
+func (e statusRequest) apply(l *Loop, now time.Time) { e.reply <- l.status(now) }
 
 func (l *Loop) status(now time.Time) Status {
 	holder, epoch := l.lease.Holder()
@@ -90,8 +90,8 @@
 		Epoch:         epoch,
 		PlatformAge:   -1,
 	}
-	if !l.reads.answered.IsZero() {
-		s.PlatformAge = now.Sub(l.reads.answered).Seconds()
+	if !l.reads.lastAnswer.IsZero() {
+		s.PlatformAge = now.Sub(l.reads.lastAnswer).Seconds()
 	}
 	l.addNodes(now, &s)
 	for id, in := range l.instances {
@@ -121,7 +121,7 @@
 		s.Remotes = append(s.Remotes, RemoteStatus{
 			ID:            string(r.node.ID),
 			DataCentre:    r.node.DataCentre,
-			Reachable:     now.Sub(r.answered) <= remoteTTL,
+			Reachable:     now.Sub(r.lastAnswer) <= remoteTTL,
 			Configuration: r.revision,
 		})
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -13,27 +13,27 @@
 
 // watch is one endpoint that this node polls.
 type watch struct {
-	address string
-	next    time.Time
-	busy    bool
-	tag     string
-	last    fleet.Report
-	known   bool
-	// refused counts the connections refused in a row.
-	refused int
+	address   string
+	next      time.Time
+	busy      bool
+	tag       string
+	last      fleet.Report
+	hasReport bool
+	// refusals counts consecutive refused connections.
+	refusals int
 }
 
-// refusedLimit is how many refusals in a row mean that an endpoint is gone.
-// One alone may be an endpoint that is just being replaced.
-const refusedLimit = 2
+// maxRefusals is the number of consecutive refused connections after which an
+// endpoint is unreachable. A single one may be an endpoint that restarts.
+const maxRefusals = 2
 
-const watchesInterval = 200 * time.Millisecond
+const assignInterval = 200 * time.Millisecond
 
-// watchEndpoints polls the endpoints that are this node's to watch.
+// watchEndpoints polls the endpoints assigned to this node.
 func (l *Loop) watchEndpoints(now time.Time) {
 	if now.After(l.next.watches) {
-		l.next.watches = now.Add(watchesInterval)
-		l.shareWatches(now)
+		l.next.watches = now.Add(assignInterval)
+		l.assignWatches(now)
 	}
 	for id, w := range l.watches {
 		if !w.busy && !now.Before(w.next) {
@@ -42,11 +42,11 @@
 	}
 }
 
-// shareWatches works out anew which endpoints are this node's to watch, if
-// the nodes or the endpoints have changed.
-func (l *Loop) shareWatches(now time.Time) {
+// assignWatches recomputes which endpoints this node watches if the nodes or
+// the endpoints have changed.
+func (l *Loop) assignWatches(now time.Time) {
 	live := l.tracker.WatchCandidates(now)
-	key := watchKey(live, l.listed)
+	key := watchKey(live, l.instancesChangedAt)
 	if key == l.watchKey {
 		return
 	}
@@ -62,8 +62,8 @@
 	}
 	for id := range l.watches {
 		if _, listed := l.instances[id]; !listed || !l.tracker.Watches(live, id) {
-			// The own report is left to lapse by itself, so that the new
-			// watchers have time to take over.
+			// This node's report is left to expire, so that the new watchers
+			// have time to take over.
 			delete(l.watches, id)
 		}
 	}
@@ -80,11 +80,11 @@
 	return b.String()
 }
 
-// polled is the answer of an endpoint to a status poll.
-type polled struct {
+// pollDone is the result of a status poll.
+type pollDone struct {
 	id      fleet.InstanceID
 	watch   *watch
-	asked   time.Time
+	sentAt  time.Time
 	report  fleet.Report
 	tag     string
 	changed bool
@@ -97,13 +97,13 @@
 	tag := w.tag
 	address := w.address
 	l.async(func(ctx context.Context) event {
-		asked := time.Now()
+		sentAt := time.Now()
 		report, newTag, changed, err := l.options.Engine.Status(ctx, address, tag)
-		return polled{id, w, asked, report, newTag, changed, err}
+		return pollDone{id, w, sentAt, report, newTag, changed, err}
 	})
 }
 
-func (e polled) apply(l *Loop, now time.Time) {
+func (e pollDone) apply(l *Loop, now time.Time) {
 	w := e.watch
 	w.busy = false
 	if l.watches[e.id] != w {
@@ -113,29 +113,29 @@
 		l.pollFailed(now, e)
 		return
 	}
-	w.refused = 0
+	w.refusals = 0
 	w.tag = e.tag
 	if e.changed {
 		w.last = e.report
-		w.known = true
+		w.hasReport = true
 	}
-	if !w.known || w.last.Instance != e.id {
-		// Another instance answers at this address.
+	if !w.hasReport || w.last.Instance != e.id {
+		// Another instance uses this address now.
 		l.tracker.Unreachable(now, e.id)
 		return
 	}
-	l.tracker.Observe(e.asked, w.last)
+	l.tracker.Observe(e.sentAt, w.last)
 }
 
-func (l *Loop) pollFailed(now time.Time, e polled) {
+func (l *Loop) pollFailed(now time.Time, e pollDone) {
 	w := e.watch
 	w.tag = ""
 	if !errors.Is(e.err, engine.ErrRefused) {
-		// No answer proves nothing; the evidence lapses by itself.
+		// A missing response proves nothing; the report expires by itself.
 		return
 	}
-	w.refused++
-	if w.refused < refusedLimit {
+	w.refusals++
+	if w.refusals < maxRefusals {
 		w.next = now
 		return
 	}
