--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -1,11 +1,11 @@
-// Package admission decides which requests run now, which wait, and which
-// are refused at once.
+// Package admission decides which requests run now, which are queued, and
+// which are rejected.
 //
 // Each pool (the groups of one template, as one node may use them) has a
-// number of slots. Workspaces share them by weight and borrow what others
-// leave unused. A request whose predicted wait does not fit its deadline is
-// refused on arrival, with the time at which it is worth coming back; that
-// time is booked, so that callers who obey it find room.
+// number of slots. Workspaces share them by weight and may use what others
+// leave idle. A request whose predicted wait exceeds its deadline is rejected
+// on arrival with a Retry-After time. These times are reserved one after the
+// other, so that callers who obey them find a free slot.
 //
 // Machine is pure: it has no clock, goroutine or socket.
 package admission
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Outcome is the answer to an arrival.
+// Outcome is the decision on an arriving request.
 type Outcome uint8
 
 // The outcomes.
@@ -25,29 +25,29 @@
 	OutcomeRefused
 )
 
-// Reason says why a request was refused.
+// Reason is why a request was rejected.
 type Reason uint8
 
 // The reasons.
 const (
 	ReasonNone Reason = iota
-	// ReasonBusy means that the wait would outlast the deadline.
+	// ReasonBusy means that the predicted wait exceeds the deadline.
 	ReasonBusy
-	// ReasonLimit means that the workspace is at its own limit.
+	// ReasonLimit means that the workspace has reached MaxInFlight.
 	ReasonLimit
-	// ReasonNoCapacity means that no group of the pool serves now.
+	// ReasonNoCapacity means that the pool has no slots.
 	ReasonNoCapacity
 	// ReasonExpired means that the deadline passed in the queue.
 	ReasonExpired
 )
 
-// String returns the reason in words for callers.
+// String returns the message for callers.
 func (r Reason) String() string {
 	switch r {
 	case ReasonBusy:
 		return "the predicted wait is longer than the deadline"
 	case ReasonLimit:
-		return "the workspace is at its limit of requests in progress"
+		return "the workspace has reached its limit of requests in flight"
 	case ReasonNoCapacity:
 		return "no replica group serves this workspace now"
 	case ReasonExpired:
@@ -65,13 +65,13 @@
 	PriorityHigh Priority = iota
 	PriorityNormal
 	PriorityLow
-	priorities
+	priorityCount
 )
 
-// ID names a request within one machine.
+// ID identifies a request within one machine.
 type ID uint64
 
-// Request is one arrival.
+// Request is an arriving request.
 type Request struct {
 	ID        ID
 	Pool      string
@@ -81,26 +81,26 @@
 	MaxInFlight int
 	Priority    Priority
 	Deadline    time.Time
-	// IsRetry marks a request that was rejected before and returns at the time it was told.
-	// It precedes new requests of its workspace.
+	// IsRetry marks a retry of a rejected request. Retries precede new requests of
+	// their workspace.
 	IsRetry bool
 }
 
-// line is the queue of its workspace that the request waits in.
-func (q Request) line() int {
+// queue returns the index of the request's queue in its workspace.
+func (q Request) queue() int {
 	if q.IsRetry {
-		return lineReturning
+		return queueRetries
 	}
 	return 1 + int(q.Priority)
 }
 
-// The lines of a workspace: returning requests, then one for each priority.
+// The queues of a workspace: one for retries, then one for each priority.
 const (
-	lineReturning = 0
-	lines         = 1 + int(priorities)
+	queueRetries = 0
+	queueCount   = 1 + int(priorityCount)
 )
 
-// Decision is the answer to one request.
+// Decision is the decision on one request.
 type Decision struct {
 	ID         ID
 	Outcome    Outcome
@@ -108,32 +108,32 @@
 	RetryAfter time.Duration
 }
 
-// Tuning constants.
 const (
-	// ewmaWeight is the weight of a new sample in the mean service time.
-	ewmaWeight = 0.1
-	// initialService is assumed until the first request has finished.
-	initialService = 500 * time.Millisecond
-	// returnsWeight is the weight of one start in the part of returning ones,
-	// and minNewShare the part of the rate that new requests are counted at
-	// least.
-	returnsWeight = 0.02
-	minNewShare   = 0.05
-	// serviceMargin is how many mean service times must be left of a deadline
-	// after the wait: work that ends too late is lost, and service times vary.
-	serviceMargin = 2
-	// agingStep is the wait that lifts a request by one priority, so that
-	// low ones are not starved by a steady flow of high ones.
-	agingStep = 2 * time.Second
-	// minRetryAfter and maxRetryAfter bound what callers are told.
+	// serviceTimeWeight is the weight of a new sample in the mean service time.
+	serviceTimeWeight = 0.1
+	// initialServiceTime is assumed until the first request has finished.
+	initialServiceTime = 500 * time.Millisecond
+	// retryShareWeight is the weight of a new sample in the share of retries
+	// among started requests.
+	retryShareWeight = 0.02
+	// minNewRequestShare is the minimum share of the rate that is expected to
+	// be left for new requests.
+	minNewRequestShare = 0.05
+	// deadlineMargin is how many mean service times must remain until the
+	// deadline after the wait. It exceeds 1 because service times vary.
+	deadlineMargin = 2
+	// agingInterval is the wait that raises a request by one priority, so that
+	// high priorities don't starve low ones.
+	agingInterval = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound RetryAfter.
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Hour
-	// noCapacityRetryAfter is told while a pool has no slots at all: about
-	// the time that a group takes to be repaired with a spare.
+	// noCapacityRetryAfter is the RetryAfter while a pool has no slots: about
+	// the time to repair a group with a warm spare.
 	noCapacityRetryAfter = 5 * time.Second
 )
 
-type waiting struct {
+type queuedRequest struct {
 	request Request
 	arrived time.Time
 }
@@ -141,12 +141,12 @@
 type workspace struct {
 	share    float64
 	inFlight int
-	queues   [lines][]waiting
-	// returns is the part of the started requests that were returning, of
-	// late; new ones have only the rest of the rate.
-	returns float64
-	// booked is how far ahead the come-back times are already promised.
-	booked time.Time
+	queues   [queueCount][]queuedRequest
+	// retryShare is the moving average of the share of retries among started
+	// requests; new requests get the rest of the rate.
+	retryShare float64
+	// nextRetryAt is the first retry time that is not reserved yet.
+	nextRetryAt time.Time
 }
 
 func (w *workspace) queued() int {
@@ -158,47 +158,47 @@
 }
 
 type pool struct {
-	slots      int
-	inFlight   int
-	service    time.Duration
-	workspaces map[string]*workspace
+	slots       int
+	inFlight    int
+	serviceTime time.Duration
+	workspaces  map[string]*workspace
 }
 
-type running struct {
+type runningRequest struct {
 	pool      string
 	workspace string
 	since     time.Time
 }
 
-// Machine is one node's admission.
+// Machine is one node's admission control.
 type Machine struct {
 	pools   map[string]*pool
-	running map[ID]running
+	running map[ID]runningRequest
 }
 
 // New returns a machine without capacity.
 func New() *Machine {
-	return &Machine{pools: map[string]*pool{}, running: map[ID]running{}}
+	return &Machine{pools: map[string]*pool{}, running: map[ID]runningRequest{}}
 }
 
 func (m *Machine) pool(name string) *pool {
 	p := m.pools[name]
 	if p == nil {
-		p = &pool{service: initialService, workspaces: map[string]*workspace{}}
+		p = &pool{serviceTime: initialServiceTime, workspaces: map[string]*workspace{}}
 		m.pools[name] = p
 	}
 	return p
 }
 
-// SetSlots sets how many requests of a pool this node may have running. The
-// result lists queued requests that are now admitted.
+// SetSlots sets the maximum number of concurrent requests of a pool. The
+// result lists the queued requests that are now admitted.
 func (m *Machine) SetSlots(now time.Time, name string, slots int) []Decision {
 	p := m.pool(name)
 	p.slots = slots
 	return m.fill(now, name, p)
 }
 
-// Arrive decides about a new request.
+// Arrive decides on a new request.
 func (m *Machine) Arrive(now time.Time, q Request) Decision {
 	p := m.pool(q.Pool)
 	w := p.workspaces[q.Workspace]
@@ -208,24 +208,24 @@
 	}
 	w.share = math.Max(q.Share, 0.01)
 	if p.slots <= 0 {
-		return refuse(q.ID, ReasonNoCapacity, noCapacityRetryAfter)
+		return reject(q.ID, ReasonNoCapacity, noCapacityRetryAfter)
 	}
 	if w.inFlight+w.queued() >= q.MaxInFlight {
-		return refuse(q.ID, ReasonLimit, clampRetry(p.service))
+		return reject(q.ID, ReasonLimit, clampRetry(p.serviceTime))
 	}
 	if p.inFlight < p.slots && p.queued() == 0 {
 		m.start(now, q)
 		return Decision{ID: q.ID, Outcome: OutcomeAdmitted}
 	}
-	wait := p.predictedWait(w, q.line())
-	if now.Add(wait + serviceMargin*p.service).After(q.Deadline) {
-		return refuse(q.ID, ReasonBusy, p.book(now, w, wait))
+	wait := p.predictedWait(w, q.queue())
+	if now.Add(wait + deadlineMargin*p.serviceTime).After(q.Deadline) {
+		return reject(q.ID, ReasonBusy, p.reserveRetryTime(now, w, wait))
 	}
-	w.queues[q.line()] = append(w.queues[q.line()], waiting{q, now})
+	w.queues[q.queue()] = append(w.queues[q.queue()], queuedRequest{q, now})
 	return Decision{ID: q.ID, Outcome: OutcomeQueued}
 }
 
-func refuse(id ID, reason Reason, after time.Duration) Decision {
+func reject(id ID, reason Reason, after time.Duration) Decision {
 	return Decision{ID: id, Outcome: OutcomeRefused, Reason: reason, RetryAfter: after}
 }
 
@@ -237,8 +237,8 @@
 	return n
 }
 
-// rate returns the requests a second that a workspace is sure of: its share
-// of the slots among the workspaces that want some, over the service time.
+// rate returns the guaranteed requests per second of a workspace: its share of
+// the slots among the active workspaces, divided by the service time.
 func (p *pool) rate(w *workspace) float64 {
 	total := w.share
 	for _, other := range p.workspaces {
@@ -247,33 +247,33 @@
 		}
 	}
 	slots := float64(p.slots) * w.share / total
-	return slots / math.Max(p.service.Seconds(), 1e-3)
+	return slots / math.Max(p.serviceTime.Seconds(), 1e-3)
 }
 
-// predictedWait is the time until one more request of the workspace starts,
-// behind all that wait in its line or in those before it.
-func (p *pool) predictedWait(w *workspace, line int) time.Duration {
+// predictedWait returns the expected time until a new request starts, after
+// all requests in its queue and in queues with precedence.
+func (p *pool) predictedWait(w *workspace, queue int) time.Duration {
 	ahead := 0
-	for _, q := range w.queues[:line+1] {
+	for _, q := range w.queues[:queue+1] {
 		ahead += len(q)
 	}
 	rate := p.rate(w)
-	if line != lineReturning {
-		rate *= max(1-w.returns, minNewShare)
+	if queue != queueRetries {
+		rate *= max(1-w.retryShare, minNewRequestShare)
 	}
 	seconds := float64(ahead+1) / rate
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// book promises a come-back time. Each promise takes its place in line, so
-// that a thousand refused callers do not all come back in the same second.
-func (p *pool) book(now time.Time, w *workspace, wait time.Duration) time.Duration {
+// reserveRetryTime returns the RetryAfter of a rejected request. Each call
+// reserves a later time, so that rejected callers don't retry all at once.
+func (p *pool) reserveRetryTime(now time.Time, w *workspace, wait time.Duration) time.Duration {
 	step := time.Duration(float64(time.Second) / p.rate(w))
 	at := now.Add(wait)
-	if w.booked.After(at) {
-		at = w.booked
+	if w.nextRetryAt.After(at) {
+		at = w.nextRetryAt
 	}
-	w.booked = at.Add(step)
+	w.nextRetryAt = at.Add(step)
 	return clampRetry(at.Sub(now))
 }
 
@@ -286,15 +286,15 @@
 	p.inFlight++
 	w := p.workspaces[q.Workspace]
 	w.inFlight++
-	w.returns *= 1 - returnsWeight
+	w.retryShare *= 1 - retryShareWeight
 	if q.IsRetry {
-		w.returns += returnsWeight
+		w.retryShare += retryShareWeight
 	}
-	m.running[q.ID] = running{q.Pool, q.Workspace, now}
+	m.running[q.ID] = runningRequest{q.Pool, q.Workspace, now}
 }
 
-// Finish ends a request that was admitted. The result lists the queued
-// requests that are admitted in its place.
+// Finish frees the slot of an admitted request. The result lists the queued
+// requests that are now admitted.
 func (m *Machine) Finish(now time.Time, id ID, served bool) []Decision {
 	r, ok := m.running[id]
 	if !ok {
@@ -306,7 +306,7 @@
 	p.workspaces[r.workspace].inFlight--
 	if served {
 		sample := float64(now.Sub(r.since))
-		p.service = time.Duration((1-ewmaWeight)*float64(p.service) + ewmaWeight*sample)
+		p.serviceTime = time.Duration((1-serviceTimeWeight)*float64(p.serviceTime) + serviceTimeWeight*sample)
 	}
 	return m.fill(now, r.pool, p)
 }
@@ -333,8 +333,8 @@
 	}
 }
 
-// Tick refuses queued requests that can no longer meet their deadline, and
-// admits others where there is room.
+// Tick rejects queued requests that can no longer meet their deadline, and
+// admits others while slots are free.
 func (m *Machine) Tick(now time.Time) []Decision {
 	var out []Decision
 	for name, p := range m.pools {
@@ -353,9 +353,9 @@
 		for _, item := range q {
 			switch {
 			case p.slots <= 0:
-				out = append(out, refuse(item.request.ID, ReasonNoCapacity, noCapacityRetryAfter))
-			case now.Add(p.service).After(item.request.Deadline):
-				out = append(out, refuse(item.request.ID, ReasonExpired, clampRetry(p.predictedWait(w, item.request.line()))))
+				out = append(out, reject(item.request.ID, ReasonNoCapacity, noCapacityRetryAfter))
+			case now.Add(p.serviceTime).After(item.request.Deadline):
+				out = append(out, reject(item.request.ID, ReasonExpired, clampRetry(p.predictedWait(w, item.request.queue()))))
 			default:
 				kept = append(kept, item)
 			}
@@ -365,23 +365,23 @@
 	return out
 }
 
-// fill admits queued requests while there are free slots, always from the
-// workspace that has least in flight for its share.
+// fill admits queued requests while slots are free, always from the workspace
+// with the fewest requests in flight relative to its share.
 func (m *Machine) fill(now time.Time, name string, p *pool) []Decision {
 	var out []Decision
 	for p.inFlight < p.slots {
-		w := p.neediest()
+		w := p.nextWorkspace()
 		if w == nil {
 			break
 		}
-		item := w.take(now)
+		item := w.dequeue(now)
 		m.start(now, item.request)
 		out = append(out, Decision{ID: item.request.ID, Outcome: OutcomeAdmitted})
 	}
 	return out
 }
 
-func (p *pool) neediest() *workspace {
+func (p *pool) nextWorkspace() *workspace {
 	var best *workspace
 	bestName := ""
 	for name, w := range p.workspaces {
@@ -392,23 +392,24 @@
 			best, bestName = w, name
 			continue
 		}
-		mine, theirs := float64(w.inFlight)/w.share, float64(best.inFlight)/best.share
-		if mine < theirs || mine == theirs && name < bestName {
+		load, bestLoad := float64(w.inFlight)/w.share, float64(best.inFlight)/best.share
+		if load < bestLoad || load == bestLoad && name < bestName {
 			best, bestName = w, name
 		}
 	}
 	return best
 }
 
-// take removes the first request by its line, each lifted by its wait.
-func (w *workspace) take(now time.Time) waiting {
+// dequeue removes the request with the highest precedence: the first of the
+// queues, where a request gains precedence while it waits.
+func (w *workspace) dequeue(now time.Time) queuedRequest {
 	chosen := -1
 	lowest := math.Inf(1)
 	for i, q := range w.queues {
 		if len(q) == 0 {
 			continue
 		}
-		rank := float64(i) - now.Sub(q[0].arrived).Seconds()/agingStep.Seconds()
+		rank := float64(i) - now.Sub(q[0].arrived).Seconds()/agingInterval.Seconds()
 		if rank < lowest {
 			chosen, lowest = i, rank
 		}
@@ -418,14 +419,14 @@
 	return item
 }
 
-// Load is how busy a pool is on this node.
+// Load is the load of a pool on this node.
 type Load struct {
 	Slots    int
 	InFlight int
 	Queued   int
 }
 
-// Load returns how busy a pool is.
+// Load returns the load of a pool.
 func (m *Machine) Load(name string) Load {
 	p := m.pool(name)
 	return Load{Slots: p.slots, InFlight: p.inFlight, Queued: p.queued()}
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -28,13 +28,13 @@
 	return Request{ID: id, Pool: "p", Workspace: workspace, Share: 1, MaxInFlight: 1000, Priority: PriorityNormal, Deadline: start.Add(time.Minute)}
 }
 
-func TestNoCapacityIsRefusedAtOnce(t *testing.T) {
+func TestArrive_RejectsWithoutCapacity(t *testing.T) {
 	m := New()
 	d := m.Arrive(start, request(1, "a"))
 	assert.Equal(t, Decision{ID: 1, Outcome: OutcomeRefused, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter}, d)
 }
 
-func TestQueueAndFinish(t *testing.T) {
+func TestFinish_AdmitsQueuedRequest(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 1)
 	assert.Equal(t, OutcomeAdmitted, m.Arrive(start, request(1, "a")).Outcome)
@@ -44,7 +44,7 @@
 	assert.Equal(t, Load{Slots: 1, InFlight: 1}, m.Load("p"))
 }
 
-func TestWorkspaceLimit(t *testing.T) {
+func TestArrive_RejectsAtWorkspaceLimit(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 10)
 	q := request(1, "a")
@@ -54,7 +54,7 @@
 	assert.Equal(t, ReasonLimit, m.Arrive(start, q).Reason)
 }
 
-func TestDeadlineThatCannotBeMet(t *testing.T) {
+func TestArrive_RejectsUnreachableDeadline(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 1)
 	m.Arrive(start, request(1, "a"))
@@ -66,8 +66,8 @@
 	assert.GreaterOrEqual(t, d.RetryAfter, minRetryAfter)
 }
 
-// Refused callers are told different times, one place in line each.
-func TestComeBackTimesAreSpread(t *testing.T) {
+// Rejected callers must not all retry at the same time.
+func TestArrive_SpreadsRetryTimes(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 1)
 	for i := range ID(8) {
@@ -84,9 +84,9 @@
 	}
 }
 
-// A caller that comes back after a refusal goes before new ones of its
-// workspace; its wait is counted behind other returns only.
-func TestReturningGoesFirst(t *testing.T) {
+// Retries precede new requests of their workspace; their predicted wait
+// depends on other retries only.
+func TestFinish_AdmitsRetriesFirst(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 1)
 	for i := range ID(20) {
@@ -100,7 +100,7 @@
 	assert.Equal(t, ID(100), m.Finish(start.Add(time.Second), 0, true)[0].ID)
 }
 
-func TestExpiredInQueue(t *testing.T) {
+func TestTick_RejectsExpiredRequests(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 1)
 	m.Arrive(start, request(1, "a"))
@@ -113,9 +113,9 @@
 	assert.Equal(t, ReasonExpired, out[0].Reason)
 }
 
-// A workspace inside its share loses nothing while another surges: its next
-// request gets the next free slot, however long the other's queue is.
-func TestFairShare(t *testing.T) {
+// A workspace below its share gets the next free slot, however long the queue
+// of another workspace is.
+func TestFinish_FairShare(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 4)
 	for i := range ID(50) {
@@ -127,7 +127,7 @@
 	assert.Equal(t, ID(100), next[0].ID)
 }
 
-func TestPrioritiesAgeAndDoNotStarve(t *testing.T) {
+func TestFinish_AgesLowPriorities(t *testing.T) {
 	m := New()
 	m.SetSlots(start, "p", 1)
 	m.Arrive(start, request(1, "a"))
@@ -138,15 +138,15 @@
 	high.Priority = PriorityHigh
 	m.Arrive(start.Add(time.Second), high)
 	assert.Equal(t, ID(3), m.Finish(start.Add(time.Second), 1, true)[0].ID)
-	// Five seconds on, another high one comes; the low one has aged past it.
+	// The low request has waited long enough to precede a new high one.
 	high.ID = 4
 	m.Arrive(start.Add(6*time.Second), high)
 	assert.Equal(t, ID(2), m.Finish(start.Add(6*time.Second), 3, true)[0].ID)
 }
 
-// Whatever comes in whatever order: never more in flight than slots were at
-// admission, each request gets exactly one final decision, nothing leaks.
-func TestRandomised(t *testing.T) {
+// For random operations, each request gets exactly one final decision, the
+// counters match, and no request waits while slots are free.
+func TestMachine_RandomisedInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		now := start
@@ -154,10 +154,10 @@
 		m.SetSlots(now, "p", slots)
 		running, queued := map[ID]bool{}, map[ID]bool{}
 		next := ID(0)
-		take := func(list []Decision) {
+		apply := func(list []Decision) {
 			for _, d := range list {
 				if !queued[d.ID] {
-					t.Fatalf("a decision for %d, which does not wait", d.ID)
+					t.Fatalf("decision for request %d, which is not queued", d.ID)
 				}
 				delete(queued, d.ID)
 				if d.Outcome == OutcomeAdmitted {
@@ -193,37 +193,37 @@
 					queued[next] = true
 				case OutcomeRefused:
 					if d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter {
-						t.Fatalf("come back after %s", d.RetryAfter)
+						t.Fatalf("RetryAfter is out of bounds: %s", d.RetryAfter)
 					}
 				}
 			},
 			"finish": func(t *rapid.T) {
 				if id, ok := anyOf(running); ok {
 					delete(running, id)
-					take(m.Finish(now, id, rapid.Bool().Draw(t, "served")))
+					apply(m.Finish(now, id, rapid.Bool().Draw(t, "served")))
 				}
 			},
 			"abandon": func(t *rapid.T) {
 				if id, ok := anyOf(queued); ok {
 					delete(queued, id)
-					take(m.Cancel(now, "p", id))
+					apply(m.Cancel(now, "p", id))
 				}
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-				take(m.Tick(now))
+				apply(m.Tick(now))
 			},
 			"slots": func(t *rapid.T) {
 				slots = rapid.IntRange(0, 5).Draw(t, "slots")
-				take(m.SetSlots(now, "p", slots))
+				apply(m.SetSlots(now, "p", slots))
 			},
 			"": func(t *rapid.T) {
 				load := m.Load("p")
 				if load.InFlight != len(running) || load.Queued != len(queued) {
-					t.Fatalf("load %+v, but %d run and %d wait", load, len(running), len(queued))
+					t.Fatalf("load is %+v, but %d requests run and %d are queued", load, len(running), len(queued))
 				}
 				if load.Queued > 0 && load.InFlight < load.Slots {
-					t.Fatalf("requests wait while slots are free: %+v", load)
+					t.Fatalf("requests are queued while slots are free: %+v", load)
 				}
 			},
 		})
