--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims runs the at-most-once claims of a node against the
-// platform's table, many in one transaction.
+// Package claims writes a node's at-most-once claims to the platform's table,
+// in batches.
 package claims
 
 import (
@@ -20,8 +20,8 @@
 type Options struct {
 	Node  string
 	Table *platform.Client
-	// Window is how long a claim may wait for others to share its
-	// transaction.
+	// Window is the maximum time that a claim waits for others to be
+	// committed in the same transaction.
 	Window time.Duration
 	// MaxBatch is the maximum number of claims in one transaction.
 	MaxBatch int
@@ -30,11 +30,11 @@
 }
 
 const (
-	settleTries = 6
-	settlePause = time.Second
+	cleanupAttempts   = 6
+	cleanupRetryDelay = time.Second
 )
 
-// Store makes claims. Close it after use.
+// Store commits claims. Close it after use.
 type Store struct {
 	options Options
 	log     logging.Logger
@@ -44,17 +44,17 @@
 
 	mu      sync.Mutex
 	batcher *claim.Batcher
-	waiting map[string]chan answer
+	replies map[string]chan claimResult
 	wake    chan struct{}
 }
 
-type answer struct {
+type claimResult struct {
 	result  claim.Result
 	row     claim.Row
 	version uint64
 }
 
-// Grant is a claim that was granted.
+// Grant is a granted claim.
 type Grant struct {
 	Key     string
 	row     claim.Row
@@ -70,7 +70,7 @@
 		ctx:     ctx,
 		cancel:  cancel,
 		batcher: claim.NewBatcher(options.Window, options.MaxBatch),
-		waiting: map[string]chan answer{},
+		replies: map[string]chan claimResult{},
 		wake:    make(chan struct{}, 1),
 	}
 	s.running.Add(1)
@@ -78,24 +78,24 @@
 	return s
 }
 
-// Close stops the store and waits for what is under way.
+// Close stops the store and waits for its goroutines.
 func (s *Store) Close() {
 	s.cancel()
 	s.running.Wait()
 }
 
-// Claim tries to claim a key. When the result is not ResultGranted the
-// request must not run; ResultTaken comes with the earlier claim's row.
+// Claim tries to claim a key. Unless the result is ResultGranted the request
+// must not run. With ResultTaken the row is that of the earlier claim.
 func (s *Store) Claim(ctx context.Context, workspace, key string) (Grant, claim.Row, claim.Result) {
 	now := time.Now()
 	row := claim.Row{State: claim.StateClaimed, Node: s.options.Node, Attempt: xid.New().String(), Made: now.Unix()}
 	c := claim.Claim{Key: claim.Key(workspace, key), Row: row}
-	reply := make(chan answer, 1)
+	reply := make(chan claimResult, 1)
 	s.mu.Lock()
-	s.waiting[row.Attempt] = reply
+	s.replies[row.Attempt] = reply
 	s.batcher.Add(now, c)
 	s.mu.Unlock()
-	s.nudge()
+	s.wakeUp()
 	timer := time.NewTimer(s.options.Timeout)
 	defer timer.Stop()
 	select {
@@ -105,26 +105,26 @@
 	case <-ctx.Done():
 	case <-s.ctx.Done():
 	}
-	s.giveUp(c)
+	s.withdraw(c)
 	return Grant{}, claim.Row{}, claim.ResultUnavailable
 }
 
-// giveUp withdraws a claim whose answer nobody waits for any more.
-func (s *Store) giveUp(c claim.Claim) {
+// withdraw removes a claim whose caller no longer waits.
+func (s *Store) withdraw(c claim.Claim) {
 	s.mu.Lock()
-	delete(s.waiting, c.Row.Attempt)
+	delete(s.replies, c.Row.Attempt)
 	s.mu.Unlock()
-	s.background(func() { s.settle(c) })
+	s.background(func() { s.deleteIfWritten(c) })
 }
 
-func (s *Store) nudge() {
+func (s *Store) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// background runs work that Close waits for.
+// background runs work in a goroutine that Close waits for.
 func (s *Store) background(work func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,15 +164,15 @@
 	}
 }
 
-// flush commits one batch. Claims that were taken before are answered, and
-// the rest goes into the next transaction.
+// flush commits one batch. If some keys are already claimed, it reports those
+// claims as taken and commits the rest in another transaction.
 func (s *Store) flush() {
 	s.mu.Lock()
 	batch := s.batcher.Take(time.Now())
 	s.mu.Unlock()
-	left := batch.Claims
-	for len(left) > 0 {
-		left = s.commit(left)
+	remaining := batch.Claims
+	for len(remaining) > 0 {
+		remaining = s.commit(remaining)
 	}
 	s.mu.Lock()
 	s.batcher.Done()
@@ -190,53 +190,54 @@
 	outcome, err := s.options.Table.Commit(ctx, txn)
 	if err != nil {
 		for _, c := range list {
-			s.answer(c, answer{result: claim.ResultUnavailable})
-			s.background(func() { s.settle(c) })
+			s.deliver(c, claimResult{result: claim.ResultUnavailable})
+			s.background(func() { s.deleteIfWritten(c) })
 		}
 		return nil
 	}
 	if outcome.Committed {
 		for _, c := range list {
-			s.answer(c, answer{result: claim.ResultGranted, version: outcome.Version})
+			s.deliver(c, claimResult{result: claim.ResultGranted, version: outcome.Version})
 		}
 		return nil
 	}
-	return s.answerTaken(list, outcome.Failed)
+	return s.deliverTaken(list, outcome.Failed)
 }
 
-// answerTaken answers the claims whose row was there and returns the others.
-func (s *Store) answerTaken(list []claim.Claim, failed []platform.Row) []claim.Claim {
+// deliverTaken reports the claims whose row existed as taken and returns the
+// others.
+func (s *Store) deliverTaken(list []claim.Claim, failed []platform.Row) []claim.Claim {
 	taken := map[string]platform.Row{}
 	for _, row := range failed {
 		taken[row.Key] = row
 	}
-	var left []claim.Claim
+	var remaining []claim.Claim
 	for _, c := range list {
 		row, ok := taken[c.Key]
 		if !ok {
-			left = append(left, c)
+			remaining = append(remaining, c)
 			continue
 		}
-		a := answer{result: claim.ResultTaken, version: row.Version}
+		a := claimResult{result: claim.ResultTaken, version: row.Version}
 		_ = json.Unmarshal(row.Value, &a.row)
-		s.answer(c, a)
+		s.deliver(c, a)
 	}
-	if len(left) == len(list) {
-		// The table refused without naming a row that we asked about.
-		for _, c := range left {
-			s.answer(c, answer{result: claim.ResultUnavailable})
+	if len(remaining) == len(list) {
+		// The table rejected the transaction without naming one of its rows.
+		for _, c := range remaining {
+			s.deliver(c, claimResult{result: claim.ResultUnavailable})
 		}
 		return nil
 	}
-	return left
+	return remaining
 }
 
-// answer tells the waiting caller. A grant that nobody waits for any more is
-// withdrawn: its request was refused meanwhile.
-func (s *Store) answer(c claim.Claim, a answer) {
+// deliver passes the result to the waiting caller. A grant without one is
+// released, because its request has been rejected.
+func (s *Store) deliver(c claim.Claim, a claimResult) {
 	s.mu.Lock()
-	reply, ok := s.waiting[c.Row.Attempt]
-	delete(s.waiting, c.Row.Attempt)
+	reply, ok := s.replies[c.Row.Attempt]
+	delete(s.replies, c.Row.Attempt)
 	s.mu.Unlock()
 	if ok {
 		reply <- a
@@ -247,11 +248,11 @@
 	}
 }
 
-// settle finds out whether a claim without an answer took effect, and
-// withdraws it if so: its request was refused as not run, and the caller may
-// come back with the same key.
-func (s *Store) settle(c claim.Claim) {
-	for range settleTries {
+// deleteIfWritten checks whether a claim without a response was written, and
+// deletes it if so: its request was rejected as not run, and the caller may
+// retry with the same key.
+func (s *Store) deleteIfWritten(c claim.Claim) {
+	for range cleanupAttempts {
 		rows, err := s.options.Table.Get(s.ctx, c.Key)
 		if err == nil {
 			var row claim.Row
@@ -261,14 +262,14 @@
 			s.deleteRow(Grant{c.Key, c.Row, rows[0].Version})
 			return
 		}
-		if !s.pause() {
+		if !s.waitBeforeRetry() {
 			return
 		}
 	}
 }
 
-func (s *Store) pause() bool {
-	timer := time.NewTimer(settlePause)
+func (s *Store) waitBeforeRetry() bool {
+	timer := time.NewTimer(cleanupRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -278,33 +279,33 @@
 	}
 }
 
-// Release withdraws a claim whose request certainly did not run.
-func (s *Store) Release(h Grant) {
-	s.background(func() { s.deleteRow(h) })
+// Release deletes a claim whose request did not run.
+func (s *Store) Release(grant Grant) {
+	s.background(func() { s.deleteRow(grant) })
 }
 
-func (s *Store) deleteRow(h Grant) {
+func (s *Store) deleteRow(grant Grant) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.Timeout)
 	defer cancel()
 	_, err := s.options.Table.Commit(ctx, platform.Txn{
-		Conditions: []platform.Condition{{Key: h.Key, Version: h.version}},
-		Deletes:    []string{h.Key},
+		Conditions: []platform.Condition{{Key: grant.Key, Version: grant.version}},
+		Deletes:    []string{grant.Key},
 	})
 	if err != nil && !errors.Is(err, context.Canceled) {
-		s.log.Warn("a claim could not be withdrawn", "key", h.Key)
+		s.log.Warn("cannot delete the row of a claim", "key", grant.Key)
 	}
 }
 
-// MarkRan records that the request ran, so that a retry is told so.
-func (s *Store) MarkRan(h Grant) {
-	row := h.row
+// MarkRan records that the request ran, so that a retry gets that outcome.
+func (s *Store) MarkRan(grant Grant) {
+	row := grant.row
 	row.State = claim.StateRan
 	s.background(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.options.Timeout)
 		defer cancel()
 		_, _ = s.options.Table.Commit(ctx, platform.Txn{
-			Conditions: []platform.Condition{{Key: h.Key, Version: h.version}},
-			Writes:     []platform.Write{{Key: h.Key, Value: row}},
+			Conditions: []platform.Condition{{Key: grant.Key, Version: grant.version}},
+			Writes:     []platform.Write{{Key: grant.Key, Value: row}},
 		})
 	})
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -19,15 +19,15 @@
 	"github.com/ridgehinge/ridgehinge/pkg/claim"
 )
 
-// bed is a table and some nodes' stores.
-type bed struct {
+// testStores is a table and the stores of several nodes.
+type testStores struct {
 	table  *platformstandin.Server
 	stores []*Store
 }
 
-func newBed(t *testing.T, nodes int) *bed {
+func newTestStores(t *testing.T, nodes int) *testStores {
 	t.Helper()
-	b := &bed{table: platformstandin.New()}
+	b := &testStores{table: platformstandin.New()}
 	server := httptest.NewServer(b.table.Handler())
 	t.Cleanup(server.Close)
 	for i := range nodes {
@@ -40,17 +40,17 @@
 	return b
 }
 
-// Claims of the same keys by many nodes, with lost answers and outages, have
-// a history in which each key is granted to one at most.
-func TestClaimsAreLinearizable(t *testing.T) {
-	b := newBed(t, 4)
+// Concurrent claims by several nodes, with lost responses and outages, must
+// grant each key at most once.
+func TestClaim_Linearizable(t *testing.T) {
+	b := newTestStores(t, 4)
 	const keys, rounds = 30, 12
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	begin := time.Now()
 	for worker := range rounds {
-		all.Go(func() {
+		workers.Go(func() {
 			random := rand.New(rand.NewPCG(9, uint64(worker)))
 			for range keys {
 				if random.IntN(10) == 0 {
@@ -70,8 +70,8 @@
 			}
 		})
 	}
-	all.Wait()
-	assert.True(t, porcupine.CheckOperations(model, history))
+	workers.Wait()
+	assert.True(t, porcupine.CheckOperations(keyModel, history))
 	granted := map[any]int{}
 	for _, op := range history {
 		if op.Output == claim.ResultGranted {
@@ -84,9 +84,9 @@
 	}
 }
 
-// model is one key: free or taken. A claim without an answer may have taken
-// it for a while, so anything may follow it.
-var model = porcupine.Model{
+// keyModel is the state of one key. A claim without a response may have been
+// written, so any result may follow it.
+var keyModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[any][]porcupine.Operation{}
 		for _, op := range history {
@@ -107,41 +107,41 @@
 			return state != "free", state
 		default:
 			if state == "free" {
-				return true, "doubt"
+				return true, "unknown"
 			}
 			return true, state
 		}
 	},
 }
 
-func TestReleasedKeyIsFreeAgain(t *testing.T) {
-	b := newBed(t, 2)
-	held, _, result := b.stores[0].Claim(context.Background(), "w", "k")
+func TestRelease_FreesKey(t *testing.T) {
+	b := newTestStores(t, 2)
+	grant, _, result := b.stores[0].Claim(context.Background(), "w", "k")
 	require.Equal(t, claim.ResultGranted, result)
 	_, earlier, result := b.stores[1].Claim(context.Background(), "w", "k")
 	require.Equal(t, claim.ResultTaken, result)
 	assert.Equal(t, claim.StateClaimed, earlier.State)
-	b.stores[0].Release(held)
+	b.stores[0].Release(grant)
 	require.Eventually(t, func() bool { return len(b.table.Rows("claim/")) == 0 }, 10*time.Second, time.Millisecond)
-	held, _, result = b.stores[1].Claim(context.Background(), "w", "k")
+	grant, _, result = b.stores[1].Claim(context.Background(), "w", "k")
 	require.Equal(t, claim.ResultGranted, result)
-	b.stores[1].MarkRan(held)
+	b.stores[1].MarkRan(grant)
 	require.Eventually(t, func() bool {
 		_, earlier, result = b.stores[0].Claim(context.Background(), "w", "k")
 		return result == claim.ResultTaken && earlier.State == claim.StateRan
 	}, 10*time.Second, time.Millisecond)
 }
 
-// Many claims at once share few transactions.
-func TestClaimsShareTransactions(t *testing.T) {
-	b := newBed(t, 1)
-	var all sync.WaitGroup
+// Concurrent claims are committed in few transactions.
+func TestClaim_BatchesTransactions(t *testing.T) {
+	b := newTestStores(t, 1)
+	var workers sync.WaitGroup
 	for i := range 64 {
-		all.Go(func() {
+		workers.Go(func() {
 			_, _, result := b.stores[0].Claim(context.Background(), "w", fmt.Sprint(i))
 			assert.Equal(t, claim.ResultGranted, result)
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	assert.Less(t, b.table.Counts().Commits, 40)
 }
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,35 +1,36 @@
-// Package claim keeps a request that may not be repeated from running twice.
+// Package claim prevents non-repeatable requests from running twice.
 //
 // A caller's idempotency key becomes one row of the platform's table,
 // inserted on the condition that it is absent, before the first byte of the
-// request leaves for an endpoint. Of all entry instances that hold the same
-// key, whichever inserts the row may run the request; the others may not.
+// request is sent to an endpoint. Of all entry instances that get a request
+// with the same key, only the one that inserts the row may run it.
 //
-// Claims are committed in groups: one transaction carries all claims that
-// arrived within a short window. Batcher is the pure part of that.
+// Claims are committed in batches: one transaction has all claims that arrived
+// within a short window. Batcher collects them.
 package claim
 
 import "time"
 
-// State is what a claim row says.
+// State is the state of a claim.
 type State string
 
 // The states of a claim.
 const (
-	// StateClaimed means that some entry instance may run or have run it.
+	// StateClaimed means that an entry instance may run or have run the
+	// request.
 	StateClaimed State = "claimed"
-	// StateRan means that an endpoint answered.
+	// StateRan means that an endpoint responded.
 	StateRan State = "ran"
 )
 
-// Row is a claim as the table has it.
+// Row is a claim's row in the table.
 type Row struct {
 	State State  `json:"state"`
 	Node  string `json:"node"`
 	// Attempt is unique to the request that made the claim.
 	Attempt string `json:"attempt"`
-	// Made is when the claim was made, in seconds of Unix time; rows older
-	// than the retention are swept.
+	// Made is when the claim was made, in Unix seconds. Rows older than the
+	// retention time are deleted.
 	Made int64 `json:"made"`
 }
 
@@ -38,13 +39,13 @@
 	return "claim/" + workspace + "/" + key
 }
 
-// Claim is one insert that waits for its transaction.
+// Claim is one row to insert.
 type Claim struct {
 	Key string
 	Row Row
 }
 
-// Result is the answer to one claim.
+// Result is the result of one claim.
 type Result uint8
 
 // The results.
@@ -53,72 +54,72 @@
 	ResultGranted Result = iota
 	// ResultTaken means that the key was claimed before.
 	ResultTaken
-	// ResultUnavailable means that the table gave no answer: the request
+	// ResultUnavailable means that the table did not respond: the request
 	// must not run.
 	ResultUnavailable
 )
 
-// Batch is a set of claims for one transaction; no key is in it twice.
+// Batch is a set of claims for one transaction, with distinct keys.
 type Batch struct {
 	Claims []Claim
 }
 
-// Batcher collects claims into batches. It has no clock of its own.
+// Batcher collects claims into batches. It has no clock, goroutine or lock.
 type Batcher struct {
-	window  time.Duration
-	most    int
-	pending []Claim
-	since   time.Time
-	flying  bool
+	window      time.Duration
+	maxBatch    int
+	pending     []Claim
+	windowStart time.Time
+	inFlight    bool
 }
 
-// NewBatcher returns a batcher that holds a claim back for the window at
-// the longest and puts at most so many claims into one transaction.
-func NewBatcher(window time.Duration, most int) *Batcher {
-	return &Batcher{window: window, most: most}
+// NewBatcher returns a batcher that delays a claim for at most the window and
+// puts at most maxBatch claims into one transaction.
+func NewBatcher(window time.Duration, maxBatch int) *Batcher {
+	return &Batcher{window: window, maxBatch: maxBatch}
 }
 
 // Add queues a claim.
 func (b *Batcher) Add(now time.Time, c Claim) {
 	if len(b.pending) == 0 {
-		b.since = now
+		b.windowStart = now
 	}
 	b.pending = append(b.pending, c)
 }
 
-// Due returns when the next batch should be taken; false when none waits or
-// one is still under way.
+// Due returns when the next batch should be taken. It returns false if no
+// claim waits or a batch is still in flight.
 func (b *Batcher) Due() (time.Time, bool) {
-	if b.flying || len(b.pending) == 0 {
+	if b.inFlight || len(b.pending) == 0 {
 		return time.Time{}, false
 	}
-	if len(b.pending) >= b.most {
-		return b.since, true
+	if len(b.pending) >= b.maxBatch {
+		return b.windowStart, true
 	}
-	return b.since.Add(b.window), true
+	return b.windowStart.Add(b.window), true
 }
 
-// Take returns the next batch. A second claim of a key stays behind: in one
-// transaction with the first it would be granted beside it.
+// Take returns the next batch. A second claim of the same key is left for a
+// later batch: in the same transaction both would be granted.
 func (b *Batcher) Take(now time.Time) Batch {
 	var batch Batch
 	var rest []Claim
-	taken := map[string]bool{}
+	included := map[string]bool{}
 	for _, c := range b.pending {
-		if taken[c.Key] || len(batch.Claims) >= b.most {
+		if included[c.Key] || len(batch.Claims) >= b.maxBatch {
 			rest = append(rest, c)
 			continue
 		}
-		taken[c.Key] = true
+		included[c.Key] = true
 		batch.Claims = append(batch.Claims, c)
 	}
 	b.pending = rest
-	b.since = now
-	b.flying = true
+	b.windowStart = now
+	b.inFlight = true
 	return batch
 }
 
-// Done says that the batch that was taken has its answers.
+// Done marks the batch that was taken as committed or failed.
 func (b *Batcher) Done() {
-	b.flying = false
+	b.inFlight = false
 }
