--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,12 +1,13 @@
 // Package membership tracks which entry instances and endpoints of a data
-// centre are alive, from direct evidence that expires.
+// centre are alive, from reports and heartbeats that expire.
 //
-// The entry instances share out the watching of endpoints by rendezvous
-// hashing: each endpoint is watched by a few of them. A watcher tells its
-// peers what changed, and vouches with every beat that the rest still holds.
-// Evidence is dated by the clock of whoever uses it, from the moment that the
-// question left it, so a paused process or a delayed message never makes old
-// evidence look fresh.
+// Endpoints are assigned to entry instances by rendezvous hashing: each
+// endpoint is watched by a few of them. A watcher sends its peers the reports
+// that changed, and vouches with every heartbeat that its other reports are
+// still valid. The age of a report or heartbeat counts on the clock of the
+// node that uses it, from the moment when that node sent its poll or its last
+// heartbeat. So a paused process or a delayed message never makes an old report
+// appear fresh.
 //
 // Tracker is a pure state machine: it has no clock, goroutine or socket.
 package membership
@@ -26,23 +27,23 @@
 	Self Node
 	// Incarnation must be higher at each start of the process.
 	Incarnation uint64
-	// Start is the origin of the stamps in beats.
+	// Start is the time at which the stamps in heartbeats are 0.
 	Start time.Time
 	// Watchers is how many entry instances watch one endpoint.
 	Watchers int
-	// OwnTTL is how long a report that this node got itself is vouched for.
+	// OwnTTL is how long this node vouches for a report of its own poll.
 	OwnTTL time.Duration
-	// VouchTTL is how long a vouch counts after the moment it is dated to.
+	// VouchTTL is how long a peer's vouch is valid.
 	VouchTTL time.Duration
-	// PeerTTL is how long a silent peer still counts as alive.
+	// PeerTTL is how long a silent peer is considered alive.
 	PeerTTL time.Duration
-	// LoadEvery is the least time between two reports of one endpoint that
-	// differ in the load only.
+	// LoadEvery is the minimum time between two updates of an endpoint's report
+	// that change only the load.
 	LoadEvery time.Duration
 }
 
-// DefaultOptions returns options that find a lost member within two seconds
-// at the size of some ten entry instances.
+// DefaultOptions returns options for small data centres, which detect a lost
+// member within two seconds.
 func DefaultOptions(self Node, incarnation uint64, start time.Time) Options {
 	return Options{
 		Self:        self,
@@ -56,110 +57,112 @@
 	}
 }
 
-// TTLs are how long each kind of evidence is valid.
+// TTLs are the values of OwnTTL, VouchTTL, PeerTTL and LoadEvery.
 type TTLs struct{ Own, Vouch, Peer, Load time.Duration }
 
-// SetTTLs sets how long evidence is valid, which depends on the size of the data centre.
-func (t *Tracker) SetTTLs(times TTLs) {
-	t.options.OwnTTL = times.Own
-	t.options.VouchTTL = times.Vouch
-	t.options.PeerTTL = times.Peer
-	t.options.LoadEvery = times.Load
+// SetTTLs sets the TTLs, which depend on the size of the data centre.
+func (t *Tracker) SetTTLs(ttls TTLs) {
+	t.options.OwnTTL = ttls.Own
+	t.options.VouchTTL = ttls.Vouch
+	t.options.PeerTTL = ttls.Peer
+	t.options.LoadEvery = ttls.Load
 }
 
-// forgetAfter is how long a withdrawn report is kept for peers that were cut
-// off; without a bound a year of replaced instances would fill the memory.
-const forgetAfter = 10 * time.Minute
+// withdrawalTTL is how long withdrawals are kept for unreachable peers. It
+// bounds the memory that replaced instances use.
+const withdrawalTTL = 10 * time.Minute
 
-// ownReport is a report that this node vouches for.
-type ownReport struct {
+// localReport is a report of this node's own polls.
+type localReport struct {
 	report fleet.Report
-	// at is when the question left that the report answers.
-	at  time.Time
-	seq uint64
-	// told is when the report was last passed on.
-	told time.Time
+	// sentAt is when the poll was sent.
+	sentAt time.Time
+	seq    uint64
+	// publishedAt is the time of the last change sent to peers.
+	publishedAt time.Time
 }
 
-// withdrawal is a report that this node vouches for no longer.
+// withdrawal is a tombstone of a report for which this node no longer vouches.
 type withdrawal struct {
 	at  time.Time
 	seq uint64
 }
 
-// knownNode is a node that should exist, and since when it is known.
+// knownNode is a listed node and since when it has been listed.
 type knownNode struct {
 	node  Node
 	since time.Time
 }
 
 type peer struct {
-	node        Node
-	incarnation uint64
-	first       time.Time
-	// stamp is the peer's last stamp, to be echoed.
+	node          Node
+	incarnation   uint64
+	firstReceived time.Time
+	// stamp is the peer's last stamp, which heartbeats echo.
 	stamp time.Duration
-	// heard and vouched are on this node's clock.
-	heard   time.Time
-	vouched time.Time
-	// seq is the last of the peer's changes held here; acked is the last of
-	// this node's changes that the peer holds.
-	seq     uint64
-	acked   uint64
-	leaving bool
-	// greeted is set once the peer has shown that it knows this life of this
-	// node; until then beats say where the node is, and whom it knows.
-	greeted bool
-	reports map[fleet.InstanceID]fleet.Report
-	// demand is what the peer has told, told what this node has told it.
-	demand map[string]float64
-	told   map[string]float64
+	// aliveAt is when the peer was last known to be alive, and vouchedAt the
+	// time for which it last vouched for its reports, on this node's clock.
+	aliveAt   time.Time
+	vouchedAt time.Time
+	// seq is the last change received from the peer; ackedSeq is the last
+	// change that the peer has acknowledged.
+	seq      uint64
+	ackedSeq uint64
+	stopping bool
+	// knowsIncarnation is set once the peer has echoed a stamp of this
+	// incarnation; until then heartbeats include this node's address and the
+	// nodes it knows.
+	knowsIncarnation bool
+	reports          map[fleet.InstanceID]fleet.Report
+	// demand is the peer's demand; sentDemand is the demand last sent to it.
+	demand     map[string]float64
+	sentDemand map[string]float64
 
 	configurationRevision uint64
 	groupsRevision        uint64
 }
 
-// Tracker is one node's knowledge of its peers and endpoints.
+// Tracker tracks the peers and endpoints of one node's data centre.
 type Tracker struct {
 	options Options
 	seq     uint64
-	// changes counts what could change an endpoint's Status, beside time.
+	// changes counts the changes that affect an endpoint's Status, besides time.
 	changes uint64
-	// floor is the highest seq of a withdrawn report that was forgotten; a
-	// peer that has not seen it needs all reports anew.
-	floor uint64
-	own   map[fleet.InstanceID]*ownReport
-	// withdrawn is apart from own: a beat looks at all own reports, and at
-	// the withdrawals only for a peer that lacks the last of them.
+	// minDeltaSeq is the highest seq of a withdrawal that has been dropped; a
+	// peer that has not acknowledged it needs a snapshot.
+	minDeltaSeq uint64
+	local       map[fleet.InstanceID]*localReport
+	// withdrawn is separate from local because a heartbeat scans all local
+	// reports, but the withdrawals only for a peer that lacks some.
 	withdrawn     map[fleet.InstanceID]withdrawal
 	lastWithdrawn uint64
 	peers         map[NodeID]*peer
 	known         map[NodeID]knownNode
-	// holders lists the peers that have a report of an endpoint, so that
-	// Status looks at a few peers only, however many there are.
-	holders map[fleet.InstanceID][]*peer
+	// reporters lists the peers that have a report of an endpoint, so that
+	// Status need not scan all peers.
+	reporters map[fleet.InstanceID][]*peer
 }
 
-// New returns a tracker that knows nobody.
+// New returns a tracker without peers and reports.
 func New(options Options) *Tracker {
 	return &Tracker{
 		options:   options,
-		own:       map[fleet.InstanceID]*ownReport{},
+		local:     map[fleet.InstanceID]*localReport{},
 		withdrawn: map[fleet.InstanceID]withdrawal{},
 		peers:     map[NodeID]*peer{},
 		known:     map[NodeID]knownNode{},
-		holders:   map[fleet.InstanceID][]*peer{},
+		reporters: map[fleet.InstanceID][]*peer{},
 	}
 }
 
-// Changes rises whenever a report has changed; a Status that was looked up
-// before may since only have been lengthened, or have lapsed.
+// Changes returns a counter of changed reports. While it is the same, a Status
+// can only be extended or expire.
 func (t *Tracker) Changes() uint64 { return t.changes }
 
-// hold notes that a peer has a report of an endpoint.
-func (t *Tracker) hold(p *peer, r fleet.Report) {
+// setPeerReport stores a peer's report of an endpoint.
+func (t *Tracker) setPeerReport(p *peer, r fleet.Report) {
 	if _, ok := p.reports[r.Instance]; !ok {
-		t.holders[r.Instance] = append(t.holders[r.Instance], p)
+		t.reporters[r.Instance] = append(t.reporters[r.Instance], p)
 	}
 	if !p.reports[r.Instance].EqualExceptLoad(r) {
 		t.changes++
@@ -167,35 +170,35 @@
 	p.reports[r.Instance] = r
 }
 
-// release undoes hold.
-func (t *Tracker) release(p *peer, id fleet.InstanceID) {
+// removePeerReport removes a peer's report of an endpoint.
+func (t *Tracker) removePeerReport(p *peer, id fleet.InstanceID) {
 	if _, ok := p.reports[id]; !ok {
 		return
 	}
 	t.changes++
 	delete(p.reports, id)
-	list := t.holders[id]
+	list := t.reporters[id]
 	for i, other := range list {
 		if other == p {
 			list = append(list[:i], list[i+1:]...)
 			break
 		}
 	}
-	t.holders[id] = list
+	t.reporters[id] = list
 	if len(list) == 0 {
-		delete(t.holders, id)
+		delete(t.reporters, id)
 	}
 }
 
-// releaseAll undoes hold for all of a peer's reports.
-func (t *Tracker) releaseAll(p *peer) {
+// removePeerReports removes all reports of a peer.
+func (t *Tracker) removePeerReports(p *peer) {
 	for id := range p.reports {
-		t.release(p, id)
+		t.removePeerReport(p, id)
 	}
 }
 
-// learn remembers where a node of the data centre is, until it is heard.
-func (t *Tracker) learn(now time.Time, node Node) {
+// addKnown adds a node of this data centre to the known nodes.
+func (t *Tracker) addKnown(now time.Time, node Node) {
 	if node.ID == "" || node.ID == t.options.Self.ID || node.DataCentre != t.options.Self.DataCentre {
 		return
 	}
@@ -206,13 +209,13 @@
 	t.known[node.ID] = knownNode{node, since}
 }
 
-// SetKnown replaces the list of nodes that should exist, as the platform or
-// the settings have it. Nodes that were heard stay known by that.
+// SetKnown replaces the nodes listed by the platform and the settings. Peers
+// that are not listed are kept.
 func (t *Tracker) SetKnown(now time.Time, nodes []Node) {
 	listed := map[NodeID]bool{}
 	for _, node := range nodes {
 		listed[node.ID] = true
-		t.learn(now, node)
+		t.addKnown(now, node)
 	}
 	for id := range t.known {
 		if !listed[id] {
@@ -221,7 +224,7 @@
 	}
 }
 
-// Nodes returns this node and all nodes it has heard of, by id.
+// Nodes returns this node, all known nodes and all peers, sorted by id.
 func (t *Tracker) Nodes() []Node {
 	all := map[NodeID]Node{t.options.Self.ID: t.options.Self}
 	for id, k := range t.known {
@@ -238,12 +241,12 @@
 	return out
 }
 
-// Live returns the ids of the nodes that are alive and not leaving, this
-// node among them, in order.
+// Live returns the sorted ids of the nodes that are alive and not stopping,
+// including this node.
 func (t *Tracker) Live(now time.Time) []NodeID {
 	out := []NodeID{t.options.Self.ID}
 	for id, p := range t.peers {
-		if t.peerAlive(now, p) && !p.leaving {
+		if t.peerAlive(now, p) && !p.stopping {
 			out = append(out, id)
 		}
 	}
@@ -251,13 +254,13 @@
 	return out
 }
 
-// WatchCandidates returns the nodes among which the watching of endpoints is divided: those
-// alive, and those known that have had no time to be heard yet. Without the latter, each of
-// many nodes that start together would watch everything at first.
+// WatchCandidates returns the nodes that share the watching of endpoints: those alive, and
+// those that became known less than PeerTTL ago. Without the latter, nodes that start
+// together would each watch all endpoints at first.
 func (t *Tracker) WatchCandidates(now time.Time) []NodeID {
 	out := t.Live(now)
 	for id, k := range t.known {
-		if _, heard := t.peers[id]; !heard && now.Sub(k.since) <= t.options.PeerTTL {
+		if _, isPeer := t.peers[id]; !isPeer && now.Sub(k.since) <= t.options.PeerTTL {
 			out = append(out, id)
 		}
 	}
@@ -266,10 +269,10 @@
 }
 
 func (t *Tracker) peerAlive(now time.Time, p *peer) bool {
-	return now.Sub(p.heard) <= t.options.PeerTTL
+	return now.Sub(p.aliveAt) <= t.options.PeerTTL
 }
 
-// Revisions returns the revisions that a peer last said it holds.
+// Revisions returns the revisions that a peer last reported.
 func (t *Tracker) Revisions(id NodeID) (configuration, groups uint64) {
 	p := t.peers[id]
 	if p == nil {
@@ -278,7 +281,7 @@
 	return p.configurationRevision, p.groupsRevision
 }
 
-// Demand sums what the living peers tell of each workspace's requests.
+// Demand returns the total demand of the live peers by pool.
 func (t *Tracker) Demand(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for _, p := range t.peers {
@@ -294,23 +297,23 @@
 
 // Watches reports whether this node is among the watchers of an endpoint.
 func (t *Tracker) Watches(live []NodeID, id fleet.InstanceID) bool {
-	return watches(live, id, t.options.Self.ID, t.options.Watchers)
+	return isWatcher(live, id, t.options.Self.ID, t.options.Watchers)
 }
 
-// watches ranks the nodes by a hash of node and endpoint together, so that a
-// node's end moves only the endpoints that it watched.
-func watches(live []NodeID, id fleet.InstanceID, self NodeID, k int) bool {
-	mine := score(self, id)
+// isWatcher ranks the nodes by a hash of node and endpoint, so that the
+// removal of a node reassigns only the endpoints that it watched.
+func isWatcher(live []NodeID, id fleet.InstanceID, self NodeID, watchers int) bool {
+	ownScore := score(self, id)
 	higher := 0
 	for _, node := range live {
 		if node == self {
 			continue
 		}
 		s := score(node, id)
-		if s > mine || s == mine && node < self {
+		if s > ownScore || s == ownScore && node < self {
 			higher++
 		}
-		if higher >= k {
+		if higher >= watchers {
 			return false
 		}
 	}
@@ -321,23 +324,23 @@
 	return xxh3.HashStringSeed(string(id), xxh3.HashString(string(node)))
 }
 
-// Observe takes a report that this node got itself. The time is when the
-// question left this node.
-func (t *Tracker) Observe(asked time.Time, r fleet.Report) {
-	o := t.own[r.Instance]
+// Observe records a report of this node's own poll. The time is when the poll
+// was sent.
+func (t *Tracker) Observe(sentAt time.Time, r fleet.Report) {
+	o := t.local[r.Instance]
 	if o == nil {
-		if w, ok := t.withdrawn[r.Instance]; ok && asked.Before(w.at) {
+		if w, ok := t.withdrawn[r.Instance]; ok && sentAt.Before(w.at) {
 			return
 		}
 		delete(t.withdrawn, r.Instance)
-		o = &ownReport{}
-		t.own[r.Instance] = o
+		o = &localReport{}
+		t.local[r.Instance] = o
 	}
-	if asked.Before(o.at) {
+	if sentAt.Before(o.sentAt) {
 		return
 	}
-	o.at = asked
-	if o.report == r || !t.worthTelling(asked, o, r) {
+	o.sentAt = sentAt
+	if o.report == r || !t.shouldPublish(sentAt, o, r) {
 		return
 	}
 	if !o.report.EqualExceptLoad(r) {
@@ -346,88 +349,88 @@
 	t.seq++
 	o.seq = t.seq
 	o.report = r
-	o.told = asked
+	o.publishedAt = sentAt
 }
 
-// loadStep is the part of an endpoint's slots by which its load must have
-// changed to be told.
-const loadStep = 0.25
+// minLoadChange is the minimum change of an endpoint's load, as a fraction of
+// its slots, that is sent to peers.
+const minLoadChange = 0.25
 
-// worthTelling reports whether peers should hear of a report now. The load
-// changes with every request; told at every change it would fill the beats,
-// and routing allows for loads that are late.
-func (t *Tracker) worthTelling(now time.Time, o *ownReport, r fleet.Report) bool {
+// shouldPublish reports whether a report is sent to peers now. Load changes
+// are limited because the load changes with every request, and routing allows
+// for delayed loads.
+func (t *Tracker) shouldPublish(now time.Time, o *localReport, r fleet.Report) bool {
 	if !o.report.EqualExceptLoad(r) || r.Load == o.report.Load {
 		return true
 	}
-	step := max(1, loadStep*float64(r.Slots))
-	return math.Abs(float64(r.Load-o.report.Load)) >= step && now.Sub(o.told) >= t.options.LoadEvery
+	step := max(1, minLoadChange*float64(r.Slots))
+	return math.Abs(float64(r.Load-o.report.Load)) >= step && now.Sub(o.publishedAt) >= t.options.LoadEvery
 }
 
-// Unreachable withdraws this node's own report: the endpoint refused the
-// connection, or the report is too old.
+// Unreachable withdraws this node's report of an endpoint, which refused the
+// connection or has not responded for too long.
 func (t *Tracker) Unreachable(now time.Time, id fleet.InstanceID) {
-	if _, ok := t.own[id]; !ok {
+	if _, ok := t.local[id]; !ok {
 		return
 	}
-	delete(t.own, id)
+	delete(t.local, id)
 	t.changes++
 	t.seq++
 	t.lastWithdrawn = t.seq
 	t.withdrawn[id] = withdrawal{now, t.seq}
 }
 
-// Expire withdraws this node's own reports that have grown too old. It must
-// run before each Compose: a beat must not vouch for what has lapsed.
+// Expire withdraws this node's reports that have expired. It must run before
+// NextHeartbeat, because a heartbeat must not vouch for expired reports.
 func (t *Tracker) Expire(now time.Time) {
-	for id, o := range t.own {
-		if now.Sub(o.at) > t.options.OwnTTL {
+	for id, o := range t.local {
+		if now.Sub(o.sentAt) > t.options.OwnTTL {
 			t.Unreachable(now, id)
 		}
 	}
 }
 
-// Forget drops what is of no use any more: peers that have been silent for
-// long and that nobody lists, and old withdrawals.
+// Forget removes unlisted peers that have been silent for the given time, and
+// expired withdrawals.
 func (t *Tracker) Forget(now time.Time, silence time.Duration) {
 	for id, p := range t.peers {
-		last := later(p.heard, p.first)
-		if _, listed := t.known[id]; !listed && now.Sub(last) > silence {
-			t.releaseAll(p)
+		lastSeen := laterOf(p.aliveAt, p.firstReceived)
+		if _, listed := t.known[id]; !listed && now.Sub(lastSeen) > silence {
+			t.removePeerReports(p)
 			delete(t.peers, id)
 		}
 	}
 	for id, w := range t.withdrawn {
-		if now.Sub(w.at) > forgetAfter {
-			t.floor = max(t.floor, w.seq)
+		if now.Sub(w.at) > withdrawalTTL {
+			t.minDeltaSeq = max(t.minDeltaSeq, w.seq)
 			delete(t.withdrawn, id)
 		}
 	}
 }
 
-// Status is the best evidence about an endpoint.
+// Status is the latest valid report of an endpoint.
 type Status struct {
 	Report fleet.Report
-	// Seen is the moment that the evidence is dated to.
+	// Seen is when the report was last known to be valid.
 	Seen time.Time
-	// Until is when the evidence ends unless it is renewed.
+	// Until is when the report expires unless it is renewed.
 	Until time.Time
 }
 
-// Status returns the latest report of an endpoint that is still vouched for.
-// Evidence of an older state never lengthens the life of a newer one.
+// Status returns the latest valid report of an endpoint. Reports of an older
+// state don't extend the validity of a newer one.
 func (t *Tracker) Status(now time.Time, id fleet.InstanceID) (Status, bool) {
 	best := Status{}
-	if o := t.own[id]; o != nil {
-		best.take(now, o.report, o.at, t.options.OwnTTL)
+	if o := t.local[id]; o != nil {
+		best.merge(now, o.report, o.sentAt, t.options.OwnTTL)
 	}
-	for _, p := range t.holders[id] {
-		best.take(now, p.reports[id], p.vouched, t.options.VouchTTL)
+	for _, p := range t.reporters[id] {
+		best.merge(now, p.reports[id], p.vouchedAt, t.options.VouchTTL)
 	}
 	return best, !best.Until.IsZero()
 }
 
-func (s *Status) take(now time.Time, r fleet.Report, seen time.Time, ttl time.Duration) {
+func (s *Status) merge(now time.Time, r fleet.Report, seen time.Time, ttl time.Duration) {
 	until := seen.Add(ttl)
 	if !until.After(now) {
 		return
@@ -439,7 +442,7 @@
 		s.Until = until
 	case s.Report.Newer(r):
 	default:
-		s.Seen = later(s.Seen, seen)
-		s.Until = later(s.Until, until)
+		s.Seen = laterOf(s.Seen, seen)
+		s.Until = laterOf(s.Until, until)
 	}
 }
