--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -189,8 +189,8 @@
 		return
 	}
 	invariant.Check(l.groups.Revision() > before, invariant.Forward, "groups %d after %d", l.groups.Revision(), before)
-	if revision := l.groups.Revision(); revision > ledger.KeepTombstones {
-		l.groups.DropTombstones(revision - ledger.KeepTombstones)
+	if revision := l.groups.Revision(); revision > ledger.TombstoneRevisions {
+		l.groups.DropTombstones(revision - ledger.TombstoneRevisions)
 	}
 	l.checkMembersUnique()
 }
--- a/pkg/configuration/configuration_test.go
+++ b/pkg/configuration/configuration_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-const sample = `
+const validTemplate = `
 [template]
 name = letters
 model = roaster-7b
@@ -43,8 +43,8 @@
 deadline = 90s
 `
 
-func TestParse(t *testing.T) {
-	got, err := Parse("letters.ini", []byte(sample))
+func TestParse_ReadsTemplate(t *testing.T) {
+	got, err := Parse("letters.ini", []byte(validTemplate))
 	require.NoError(t, err)
 	assert.Equal(t, "roaster-7b@2+galicia+cantabria", got.WeightsName())
 	assert.Equal(t, 8, got.ReplicaSize)
@@ -55,21 +55,21 @@
 	assert.Equal(t, 90*time.Second, got.Workspaces[0].Deadline)
 }
 
-func TestParseMistakes(t *testing.T) {
-	const head = "[template]\nname = a\nmodel = m\n[capacity]\ngroups = 00:00=1\n"
-	const tail = "[workspace w]\nkey = long-enough\n"
+func TestParse_ReportsMistakes(t *testing.T) {
+	const validHead = "[template]\nname = a\nmodel = m\n[capacity]\ngroups = 00:00=1\n"
+	const validTail = "[workspace w]\nkey = long-enough\n"
 	for _, c := range []struct{ name, text, want string }{
-		{"too small", "[template]\nname = a\nmodel = m\nreplica_size = 3\n[capacity]\ngroups = 00:00=1\n" + tail, "replica_size: given \"3\", allowed: a whole number from 4 to 32"},
-		{"too large", "[template]\nname = a\nmodel = m\nreplica_size = 33\n[capacity]\ngroups = 00:00=1\n" + tail, "given \"33\""},
-		{"no model", "[template]\nname = a\n" + tail, "a model, a service or both"},
-		{"no capacity", "[template]\nname = a\nmodel = m\n" + tail, "[capacity] groups"},
-		{"steps out of order", "[template]\nname = a\nmodel = m\n[capacity]\ngroups = 10:00=1 09:00=2\n" + tail, "given \"09:00=2\""},
-		{"bad hour", "[template]\nname = a\nmodel = m\n[capacity]\ngroups = 25:00=1\n" + tail, "given \"25:00=1\""},
-		{"bad zone", "[template]\nname = a\nmodel = m\n[capacity]\ntime_zone = Mars\ngroups = 00:00=1\n" + tail, "an IANA time zone"},
-		{"role not served", "[template]\nname = a\nmodel = m\nrole = decode\n[capacity]\ngroups = 00:00=1\n" + tail, "one of mixed"},
-		{"no workspace", head, "at least one [workspace NAME] section"},
-		{"short key", head + "[workspace w]\nkey = short\n", "key: given \"(hidden)\""},
-		{"unknown key", head + tail + "colour = red\n", "colour"},
+		{"too small", "[template]\nname = a\nmodel = m\nreplica_size = 3\n[capacity]\ngroups = 00:00=1\n" + validTail, "replica_size: given \"3\", allowed: a whole number from 4 to 32"},
+		{"too large", "[template]\nname = a\nmodel = m\nreplica_size = 33\n[capacity]\ngroups = 00:00=1\n" + validTail, "given \"33\""},
+		{"no model", "[template]\nname = a\n" + validTail, "a model, a service or both"},
+		{"no capacity", "[template]\nname = a\nmodel = m\n" + validTail, "[capacity] groups"},
+		{"steps out of order", "[template]\nname = a\nmodel = m\n[capacity]\ngroups = 10:00=1 09:00=2\n" + validTail, "given \"09:00=2\""},
+		{"bad hour", "[template]\nname = a\nmodel = m\n[capacity]\ngroups = 25:00=1\n" + validTail, "given \"25:00=1\""},
+		{"bad zone", "[template]\nname = a\nmodel = m\n[capacity]\ntime_zone = Mars\ngroups = 00:00=1\n" + validTail, "an IANA time zone"},
+		{"role not served", "[template]\nname = a\nmodel = m\nrole = decode\n[capacity]\ngroups = 00:00=1\n" + validTail, "one of mixed"},
+		{"no workspace", validHead, "at least one [workspace NAME] section"},
+		{"short key", validHead + "[workspace w]\nkey = short\n", "key: given \"(hidden)\""},
+		{"unknown key", validHead + validTail + "colour = red\n", "colour"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse("t.ini", []byte(c.text))
@@ -80,14 +80,14 @@
 	}
 }
 
-func TestGroupsAt(t *testing.T) {
-	got, err := Parse("letters.ini", []byte(sample))
+func TestTemplate_GroupsAt(t *testing.T) {
+	got, err := Parse("letters.ini", []byte(validTemplate))
 	require.NoError(t, err)
 	for _, c := range []struct {
 		at   string
 		want int
 	}{
-		{"2026-01-15T05:29:00Z", 1}, // 06:29 in Madrid, still yesterday's last step.
+		{"2026-01-15T05:29:00Z", 1}, // 06:29 in Madrid: the last step of the day before.
 		{"2026-01-15T05:30:00Z", 3},
 		{"2026-01-15T20:59:00Z", 3},
 		{"2026-01-15T21:00:00Z", 1},
@@ -100,7 +100,7 @@
 }
 
 func TestDiff(t *testing.T) {
-	left, err := Parse("a", []byte(sample))
+	left, err := Parse("a", []byte(validTemplate))
 	require.NoError(t, err)
 	right := *left
 	right.ReplicaSize = 4
@@ -109,19 +109,19 @@
 	assert.NotEmpty(t, Diff(nil, left))
 }
 
-// Deltas that come late, doubled, out of order or with gaps never bring an
-// older template back, and a node that has the head has every template.
-func TestStoreNeverGoesBack(t *testing.T) {
+// Delayed, duplicate, reordered or incomplete deltas must not restore an older
+// template, and a node at the latest revision must have every template.
+func TestApply_KeepsNewestRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source := NewStore()
+		origin := NewStore()
 		var deltas []Delta
 		last := map[string]Revision{}
 		for r := Revision(1); r <= 20; r++ {
 			name := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "template"))
 			since := Revision(rapid.Uint64Range(0, uint64(r-1)).Draw(t, "since"))
-			source.Apply(Delta{Since: r - 1, To: r, Entries: []Entry{{Name: name, Revision: r}}})
+			origin.Apply(Delta{Since: r - 1, To: r, Entries: []Entry{{Name: name, Revision: r}}})
 			last[name] = r
-			deltas = append(deltas, source.DeltaSince(since))
+			deltas = append(deltas, origin.DeltaSince(since))
 		}
 		node := NewStore()
 		seen := map[string]Revision{}
@@ -129,22 +129,22 @@
 			node.Apply(rapid.SampledFrom(deltas).Draw(t, "delta"))
 			for _, e := range node.Entries() {
 				if e.Revision < seen[e.Name] {
-					t.Fatalf("%s went back from %d to %d", e.Name, seen[e.Name], e.Revision)
+					t.Fatalf("%s was replaced at revision %d by %d", e.Name, seen[e.Name], e.Revision)
 				}
 				seen[e.Name] = e.Revision
 			}
 		}
-		node.Apply(source.DeltaSince(node.Revision()))
+		node.Apply(origin.DeltaSince(node.Revision()))
 		for name, r := range last {
 			if e, _ := node.Get(name); e.Revision != r {
-				t.Fatalf("%s is at %d, not %d", name, e.Revision, r)
+				t.Fatalf("%s is at revision %d, want %d", name, e.Revision, r)
 			}
 		}
 	})
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sample))
+	f.Add([]byte(validTemplate))
 	f.Add([]byte("[template]\nname="))
 	f.Add([]byte("[workspace a]\n[workspace a]\nkey=12345678"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -153,7 +153,7 @@
 			return
 		}
 		if got.Name == "" || len(got.Workspaces) == 0 {
-			t.Fatalf("accepted without a name or a workspace: %q", text)
+			t.Fatalf("a template without a name or workspace was accepted: %q", text)
 		}
 		got.GroupsAt(time.Unix(0, 0))
 	})
--- a/pkg/configuration/store.go
+++ b/pkg/configuration/store.go
@@ -6,11 +6,11 @@
 	"sort"
 )
 
-// Revision numbers the accepted changes of all templates together. It rises
-// by one with each accepted change.
+// Revision is the revision of all templates together. Each accepted change
+// increments it.
 type Revision uint64
 
-// Entry is one template at the revision that last changed it.
+// Entry is a template with the revision that last changed it.
 type Entry struct {
 	Name     string   `json:"name"`
 	Revision Revision `json:"revision"`
@@ -30,7 +30,7 @@
 	return &Store{entries: map[string]Entry{}}
 }
 
-// Revision returns the revision that is in force.
+// Revision returns the current revision.
 func (s *Store) Revision() Revision { return s.revision }
 
 // Get returns the entry of a template.
@@ -39,7 +39,7 @@
 	return e, ok
 }
 
-// Entries returns all entries, by name.
+// Entries returns all entries, sorted by name.
 func (s *Store) Entries() []Entry {
 	out := make([]Entry, 0, len(s.entries))
 	for _, e := range s.entries {
@@ -56,7 +56,7 @@
 	Entries []Entry  `json:"entries"`
 }
 
-// DeltaSince returns what a node at an older revision lacks.
+// DeltaSince returns the changes since an older revision.
 func (s *Store) DeltaSince(since Revision) Delta {
 	d := Delta{Since: since, To: s.revision}
 	for _, e := range s.Entries() {
@@ -67,16 +67,16 @@
 	return d
 }
 
-// Apply takes a delta. It returns false, and changes nothing, when the delta
-// would leave a gap or brings nothing newer. An entry is only ever replaced
-// by one with a higher revision: a delta that was delayed on its way must not
-// bring an older template back.
+// Apply applies a delta. It returns false, and changes nothing, if the delta
+// would leave a gap or has no newer revision. An entry is replaced only by one
+// with a higher revision, so that a delayed delta does not restore an older
+// template.
 func (s *Store) Apply(d Delta) bool {
 	if d.Since > s.revision || d.To <= s.revision {
 		return false
 	}
 	for _, e := range d.Entries {
-		if old, ok := s.entries[e.Name]; ok && old.Revision >= e.Revision {
+		if current, ok := s.entries[e.Name]; ok && current.Revision >= e.Revision {
 			continue
 		}
 		s.entries[e.Name] = e
@@ -85,7 +85,7 @@
 	return true
 }
 
-// Difference is one field that two templates do not share.
+// Difference is one field in which two templates differ.
 type Difference struct {
 	Field string `json:"field"`
 	Left  string `json:"left"`
@@ -97,8 +97,8 @@
 	return fmt.Sprintf("%s: %s | %s", d.Field, d.Left, d.Right)
 }
 
-// Diff lists the fields in which two templates differ, by field name. A nil
-// template stands for one that does not exist.
+// Diff returns the fields in which two templates differ, sorted by name. A nil
+// template is one that does not exist.
 func Diff(left, right *Template) []Difference {
 	l, r := fields(left), fields(right)
 	names := map[string]struct{}{}
@@ -118,8 +118,8 @@
 	return out
 }
 
-// fields flattens a template by way of its JSON form, so that a field which
-// is added to Template later is compared without a change here.
+// fields returns a template's fields as JSON, by name. The conversion to JSON
+// includes fields that are added to Template later.
 func fields(t *Template) map[string]string {
 	out := map[string]string{}
 	if t == nil {
--- a/pkg/configuration/template.go
+++ b/pkg/configuration/template.go
@@ -1,10 +1,9 @@
-// Package configuration reads operators' templates and keeps the newest
+// Package configuration parses operators' templates and stores the newest
 // accepted revision of each.
 //
-// A template is INI text that an operator submits or revises. Parse checks
-// it whole and reports every mistake with its place. Store holds what a node
-// knows and never goes back to an older revision, whatever order the news
-// comes in.
+// A template is an INI file that an operator submits. Parse reports all its
+// mistakes with their positions. Store has a node's templates and never
+// replaces one by an older revision, whatever the order of the deltas.
 package configuration
 
 import (
@@ -21,7 +20,7 @@
 
 // Bounds of a template's values.
 const (
-	// MinReplicaSize and MaxReplicaSize bound the instances of one group.
+	// MinReplicaSize and MaxReplicaSize bound the members of a group.
 	MinReplicaSize = 4
 	MaxReplicaSize = 32
 	// MaxGroups bounds the groups of one template in one data centre.
@@ -33,7 +32,7 @@
 	minKeyLength   = 8
 )
 
-// Template says what a set of workspaces needs.
+// Template is the configuration of a set of workspaces.
 type Template struct {
 	Name     string   `json:"name"`
 	Model    string   `json:"model,omitempty"`
@@ -44,22 +43,22 @@
 	Service     string     `json:"service,omitempty"`
 	Role        fleet.Role `json:"role"`
 	ReplicaSize int        `json:"replica_size,omitempty"`
-	// DataCentres lists where the template's groups run; empty is everywhere.
+	// DataCentres lists where the template's groups run; empty means all.
 	DataCentres []fleet.DataCentre `json:"data_centres,omitempty"`
-	// TimeZone is the IANA name of the zone that Capacity's hours are in.
+	// TimeZone is the IANA time zone of Capacity.
 	TimeZone string `json:"time_zone,omitempty"`
-	// Capacity is the wanted number of groups in each data centre, from a
-	// minute of the day on, in rising order.
-	Capacity []Step `json:"capacity,omitempty"`
-	// WeightDowntime and WeightStranded are the two weights of placement's
-	// objective, per group-minute and per accelerator-hour.
+	// Capacity is the desired number of groups in each data centre, as steps
+	// sorted by time of day.
+	Capacity []CapacityStep `json:"capacity,omitempty"`
+	// WeightDowntime, per group-minute, and WeightStranded, per
+	// accelerator-hour, are the weights of the placement objective.
 	WeightDowntime float64     `json:"weight_downtime"`
 	WeightStranded float64     `json:"weight_stranded"`
 	Workspaces     []Workspace `json:"workspaces"`
 }
 
-// Step is one change of capacity during a day.
-type Step struct {
+// CapacityStep is one change of capacity during a day.
+type CapacityStep struct {
 	Minute int `json:"minute"`
 	Groups int `json:"groups"`
 }
@@ -67,14 +66,14 @@
 // Workspace is one customer-facing tenant of a template.
 type Workspace struct {
 	Name string `json:"name"`
-	// KeyHash is the SHA-256 of the bearer key, in hex. The key itself is
-	// dropped while the template is read, so that no store or log has it.
+	// KeyHash is the SHA-256 of the bearer key, in hex. The key itself is not
+	// stored.
 	KeyHash string `json:"key_hash"`
-	// Share is the workspace's weight when capacity is short.
+	// Share is the workspace's weight when capacity is scarce.
 	Share float64 `json:"share"`
 	// MaxInFlight bounds the workspace's requests in one entry instance.
 	MaxInFlight int `json:"max_in_flight"`
-	// Deadline is how long a request may take when its caller does not say.
+	// Deadline is the default time limit of a request.
 	Deadline time.Duration `json:"deadline"`
 }
 
@@ -103,21 +102,21 @@
 	return false
 }
 
-// GroupsAt returns the wanted number of groups in each data centre at a time.
+// GroupsAt returns the desired number of groups in each data centre at a time.
 func (t *Template) GroupsAt(at time.Time) int {
 	if t.Model == "" || len(t.Capacity) == 0 {
 		return 0
 	}
-	// The zone was checked when the template was read. A node whose zone
-	// data lacks it falls back to UTC: capacity then changes at the wrong
-	// hour, which costs less than refusing an accepted template would.
+	// The zone was validated when the template was parsed. A node whose zone
+	// database lacks it uses UTC: capacity then changes at the wrong hour,
+	// which is better than rejecting an accepted template.
 	zone, err := time.LoadLocation(t.TimeZone)
 	if err != nil {
 		zone = time.UTC
 	}
 	local := at.In(zone)
 	minute := local.Hour()*minutesPerHour + local.Minute()
-	// Before the day's first step the last step of the day before holds.
+	// Before the first step of the day, the last one of the day before applies.
 	groups := t.Capacity[len(t.Capacity)-1].Groups
 	for _, step := range t.Capacity {
 		if step.Minute > minute {
@@ -128,14 +127,14 @@
 	return groups
 }
 
-// Parse reads a template. The error holds every mistake of the text.
+// Parse parses a template. The error lists all mistakes.
 func Parse(file string, text []byte) (*Template, error) {
 	f := inicheck.Parse(file, text)
 	t := &Template{}
-	t.readMain(f.Section("template"))
-	t.readCapacity(f.Section("capacity"))
+	t.parseMain(f.Section("template"))
+	t.parseCapacity(f.Section("capacity"))
 	for _, section := range f.Named("workspace") {
-		t.readWorkspace(section)
+		t.parseWorkspace(section)
 	}
 	if len(t.Workspaces) == 0 {
 		f.Section("template").Reject("", "no workspace", "at least one [workspace NAME] section")
@@ -146,14 +145,14 @@
 	return t, nil
 }
 
-func (t *Template) readMain(s *inicheck.Section) {
+func (t *Template) parseMain(s *inicheck.Section) {
 	t.Name = s.Name("name")
 	t.Model = s.String("model", "")
 	t.Version = s.String("version", "1")
 	t.Adapters = s.List("adapters")
 	t.Service = s.String("service", "")
-	// Only mixed groups are served so far; a template that asks for another
-	// role is refused rather than served as something else.
+	// Only mixed groups are supported; templates with another role are
+	// rejected.
 	t.Role = fleet.Role(s.OneOf("role", string(fleet.RoleMixed), string(fleet.RoleMixed)))
 	t.ReplicaSize = s.Int("replica_size", MinReplicaSize, MinReplicaSize, MaxReplicaSize)
 	for _, name := range s.List("data_centres") {
@@ -174,7 +173,7 @@
 	}
 }
 
-func (t *Template) readCapacity(s *inicheck.Section) {
+func (t *Template) parseCapacity(s *inicheck.Section) {
 	const allowed = "steps such as 00:00=1 06:30=3 22:00=1, in rising order"
 	t.TimeZone = s.String("time_zone", "UTC")
 	if _, err := time.LoadLocation(t.TimeZone); err != nil {
@@ -186,7 +185,7 @@
 	}
 	last := -1
 	for _, word := range strings.Fields(text) {
-		step, err := parseStep(word)
+		step, err := parseCapacityStep(word)
 		if err != nil || step.Minute <= last {
 			s.Reject("groups", word, allowed)
 			return
@@ -196,23 +195,23 @@
 	}
 }
 
-func parseStep(word string) (Step, error) {
-	clock, count, ok := strings.Cut(word, "=")
+func parseCapacityStep(word string) (CapacityStep, error) {
+	timeOfDay, count, ok := strings.Cut(word, "=")
 	if !ok {
-		return Step{}, fmt.Errorf("no '=' in %q", word)
+		return CapacityStep{}, fmt.Errorf("no '=' in capacity step %q", word)
 	}
-	at, err := time.Parse("15:04", clock)
+	at, err := time.Parse("15:04", timeOfDay)
 	if err != nil {
-		return Step{}, err
+		return CapacityStep{}, err
 	}
 	groups, err := strconv.Atoi(count)
 	if err != nil || groups < 0 || groups > MaxGroups {
-		return Step{}, fmt.Errorf("bad count %q", count)
+		return CapacityStep{}, fmt.Errorf("invalid number of groups %q", count)
 	}
-	return Step{Minute: at.Hour()*minutesPerHour + at.Minute(), Groups: groups}, nil
+	return CapacityStep{Minute: at.Hour()*minutesPerHour + at.Minute(), Groups: groups}, nil
 }
 
-func (t *Template) readWorkspace(s inicheck.NamedSection) {
+func (t *Template) parseWorkspace(s inicheck.NamedSection) {
 	w := Workspace{Name: s.Name}
 	if !inicheck.IsName(s.Name) {
 		s.Reject("", s.Name, "a name of 1 to 63 letters, digits, '.', '-' and '_'")
@@ -233,7 +232,7 @@
 	t.Workspaces = append(t.Workspaces, w)
 }
 
-// HashKey returns the form in which a workspace's key is kept.
+// HashKey returns the hash of a workspace's key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -1,14 +1,13 @@
-// Package ledger turns a controller's decisions about replica groups into
-// conditional transactions on the platform's table.
+// Package ledger converts a controller's placement actions into conditional
+// transactions on the platform's table.
 //
-// The table gives the safety: each instance has an owner row, which names the
-// group that it belongs to. A group takes an instance only in a transaction
-// whose conditions say that the row is still as it was read, and that the
-// data centre's epoch and head have not moved. A controller that was paused
-// past its lease fails at the epoch row, whatever it believes.
+// The conditions make them safe: each instance has an owner row, which names
+// its group. An instance joins a group only in a transaction whose conditions
+// require that the owner row and the data centre's epoch and head rows are
+// unchanged since they were read. The transactions of a controller that was
+// paused beyond the end of its lease fail because the epoch row has changed.
 //
-// Ledger is pure: it makes transactions and learns of their outcomes, and the
-// caller talks to the table.
+// Ledger is pure: the caller commits the transactions and reports the results.
 package ledger
 
 import (
@@ -20,18 +19,18 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// Head is the row that numbers a data centre's group changes.
+// Head is the row with the revision of a data centre's groups.
 type Head struct {
 	Revision uint64 `json:"revision"`
 }
 
-// Owner is an instance's row; an empty group is a free instance.
+// Owner is an instance's row. The group of a free instance is empty.
 type Owner struct {
 	Group      fleet.GroupID `json:"group"`
 	Generation uint64        `json:"generation"`
 }
 
-// Epoch is the row that changes when the lease changes hands, and only then.
+// Epoch is the row that changes only when the leaseholder changes.
 type Epoch struct {
 	Epoch  uint64 `json:"epoch"`
 	Holder string `json:"holder"`
@@ -61,67 +60,67 @@
 // OwnerKey returns the key of an instance's owner row.
 func OwnerKey(dc fleet.DataCentre, id fleet.InstanceID) string { return OwnerPrefix(dc) + string(id) }
 
-// Row is one row as the table has it; version 0 is an absent row.
+// Row is a row of the table. Version 0 means that it does not exist.
 type Row struct {
 	Key     string
 	Version uint64
 	Value   json.RawMessage
 }
 
-// Condition asks that a row still has a version.
+// Condition requires that a row has a version.
 type Condition struct {
 	Key     string
 	Version uint64
 }
 
-// Write is one row to write.
+// Write is a row to write.
 type Write struct {
 	Key   string
 	Value any
 }
 
-// Change is one transaction and the group that it leads to.
+// Change is a transaction and the group that results from it.
 type Change struct {
 	Conditions []Condition
 	Writes     []Write
-	// Deletes are the rows of groups that ended long ago.
+	// Deletes are the rows of groups whose tombstones have expired.
 	Deletes []string
 	Group   fleet.Group
 }
 
-// KeepTombstones is for how many revisions an ended group is remembered. A
-// node that is further behind reads all groups anew.
-const KeepTombstones = 200
+// TombstoneRevisions is the number of revisions for which the tombstone of a
+// deleted group is kept. A node that is further behind needs a snapshot.
+const TombstoneRevisions = 200
 
 // maxDeletes bounds the rows that one transaction deletes.
 const maxDeletes = 16
 
-// Ledger is what a controller knows of its data centre's rows.
+// Ledger is a controller's view of its data centre's rows.
 type Ledger struct {
 	dc       fleet.DataCentre
 	epoch    uint64
 	versions map[string]uint64
 	owners   map[fleet.InstanceID]fleet.GroupID
-	// ended has the revisions of the ended groups whose rows are still there.
-	ended map[fleet.GroupID]uint64
+	// deleted has the revisions of the deleted groups whose rows still exist.
+	deleted map[fleet.GroupID]uint64
 }
 
-// Load reads the rows of a data centre under a lease's epoch. The epoch row's
-// version is that of the acquisition, not the one read now: if another node
-// has taken over meanwhile, every transaction must fail. The delta brings a
-// groups store up to date.
+// Load returns the ledger of a data centre for a lease epoch. The version of
+// the epoch row must be that of the lease's acquisition, not of the given rows:
+// if another node has acquired the lease since, every transaction must fail.
+// The delta is a snapshot of the groups.
 func Load(dc fleet.DataCentre, epoch, epochVersion uint64, rows []Row) (*Ledger, fleet.GroupsDelta, error) {
 	l := &Ledger{
 		dc:       dc,
 		epoch:    epoch,
 		versions: map[string]uint64{},
 		owners:   map[fleet.InstanceID]fleet.GroupID{},
-		ended:    map[fleet.GroupID]uint64{},
+		deleted:  map[fleet.GroupID]uint64{},
 	}
 	delta := fleet.GroupsDelta{Full: true}
 	for _, row := range rows {
 		l.versions[row.Key] = row.Version
-		if err := l.load(row, &delta); err != nil {
+		if err := l.loadRow(row, &delta); err != nil {
 			return nil, delta, fmt.Errorf("row %s: %w", row.Key, err)
 		}
 	}
@@ -129,7 +128,7 @@
 	return l, delta, nil
 }
 
-func (l *Ledger) load(row Row, delta *fleet.GroupsDelta) error {
+func (l *Ledger) loadRow(row Row, delta *fleet.GroupsDelta) error {
 	if row.Key == HeadKey(l.dc) {
 		var head Head
 		err := json.Unmarshal(row.Value, &head)
@@ -141,7 +140,7 @@
 		err := json.Unmarshal(row.Value, &g)
 		delta.Groups = append(delta.Groups, g)
 		if g.Deleted {
-			l.ended[g.ID] = g.Revision
+			l.deleted[g.ID] = g.Revision
 		}
 		return err
 	}
@@ -154,14 +153,14 @@
 	return nil
 }
 
-// Owner returns the group that an instance belongs to, or none.
+// Owner returns the group of an instance, which is empty if it is free.
 func (l *Ledger) Owner(id fleet.InstanceID) fleet.GroupID { return l.owners[id] }
 
-// Change makes the transaction for an action on the groups as they are. It
-// returns false when the action no longer fits them.
+// Change returns the transaction for an action. It returns false if the action
+// does not apply to the current groups and owners.
 func (l *Ledger) Change(a placement.Action, groups *fleet.Groups) (Change, bool) {
 	revision := groups.Revision() + 1
-	old, exists := groups.Get(a.Group.ID)
+	previous, exists := groups.Get(a.Group.ID)
 	if exists == (a.Kind == placement.ActionForm) {
 		return Change{}, false
 	}
@@ -178,50 +177,52 @@
 		group.Deleted = true
 	}
 	c := Change{Group: group}
-	// The head comes first: its row settles a doubt about the outcome.
-	l.add(&c, HeadKey(l.dc), Head{Revision: revision})
-	l.add(&c, GroupKey(l.dc, group.ID), group)
+	// The head must be the first write: its row shows whether a transaction
+	// without a response was committed.
+	l.addWrite(&c, HeadKey(l.dc), Head{Revision: revision})
+	l.addWrite(&c, GroupKey(l.dc, group.ID), group)
 	c.Conditions = append(c.Conditions, Condition{EpochKey(l.dc), l.versions[EpochKey(l.dc)]})
 	l.addDeletes(&c)
-	return c, l.addOwners(&c, old)
+	return c, l.addOwners(&c, previous)
 }
 
-// addDeletes takes the rows of groups that ended long ago along, or the table
-// would keep every group that there ever was.
+// addDeletes adds the rows of groups whose tombstones have expired, which
+// bounds the size of the table.
 func (l *Ledger) addDeletes(c *Change) {
-	for id, revision := range l.ended {
-		if revision+KeepTombstones < c.Group.Revision && len(c.Deletes) < maxDeletes {
+	for id, revision := range l.deleted {
+		if revision+TombstoneRevisions < c.Group.Revision && len(c.Deletes) < maxDeletes {
 			c.Deletes = append(c.Deletes, GroupKey(l.dc, id))
 		}
 	}
 }
 
-func (l *Ledger) add(c *Change, key string, value any) {
+func (l *Ledger) addWrite(c *Change, key string, value any) {
 	c.Conditions = append(c.Conditions, Condition{key, l.versions[key]})
 	c.Writes = append(c.Writes, Write{key, value})
 }
 
-// addOwners adds the rows of the instances that join or leave the group.
-func (l *Ledger) addOwners(c *Change, old fleet.Group) bool {
+// addOwners adds the owner rows of the instances that join or leave the group.
+// It returns false if another group owns one of them.
+func (l *Ledger) addOwners(c *Change, previous fleet.Group) bool {
 	for _, m := range c.Group.Members {
-		if c.Group.Deleted || old.Has(m.Instance) {
+		if c.Group.Deleted || previous.Has(m.Instance) {
 			continue
 		}
 		if l.owners[m.Instance] != "" {
 			return false
 		}
-		l.add(c, OwnerKey(l.dc, m.Instance), Owner{c.Group.ID, c.Group.Generation})
+		l.addWrite(c, OwnerKey(l.dc, m.Instance), Owner{c.Group.ID, c.Group.Generation})
 	}
-	for _, m := range old.Members {
+	for _, m := range previous.Members {
 		if c.Group.Deleted || !c.Group.Has(m.Instance) {
-			l.add(c, OwnerKey(l.dc, m.Instance), Owner{})
+			l.addWrite(c, OwnerKey(l.dc, m.Instance), Owner{})
 		}
 	}
 	return true
 }
 
-// Committed learns that a transaction has taken effect, and returns what it
-// means for a groups store.
+// Committed applies a committed transaction and returns the delta of the
+// groups.
 func (l *Ledger) Committed(c Change, version uint64) fleet.GroupsDelta {
 	for _, w := range c.Writes {
 		l.versions[w.Key] = version
@@ -232,10 +233,10 @@
 	}
 	for _, key := range c.Deletes {
 		delete(l.versions, key)
-		delete(l.ended, fleet.GroupID(strings.TrimPrefix(key, GroupPrefix(l.dc))))
+		delete(l.deleted, fleet.GroupID(strings.TrimPrefix(key, GroupPrefix(l.dc))))
 	}
 	if c.Group.Deleted {
-		l.ended[c.Group.ID] = c.Group.Revision
+		l.deleted[c.Group.ID] = c.Group.Revision
 	}
 	return fleet.GroupsDelta{Since: c.Group.Revision - 1, To: c.Group.Revision, Groups: []fleet.Group{c.Group}}
 }
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -1,9 +1,7 @@
-// Package serving holds the plain types that describe what is served: the
-// configuration in force, the endpoints that run requests, and the replica
-// groups that model endpoints form.
+// Package serving has the types of the active configuration, the endpoints
+// that run requests, and the replica groups that model endpoints form.
 //
-// The types name nothing of any wire. Adapters translate into them, and the
-// parts that decide read them.
+// The types are independent of any wire format; adapters convert to them.
 package serving
 
 import (
@@ -12,24 +10,24 @@
 	"time"
 )
 
-// EndpointID names an endpoint. A restart may give a new one, or keep it: then
-// Endpoint.StartedAt tells the incarnations apart.
+// EndpointID identifies an endpoint. It may change or stay the same at a
+// restart; Endpoint.StartedAt distinguishes incarnations with the same id.
 type EndpointID string
 
 // DataCentre names a data centre.
 type DataCentre string
 
-// RouteKind tells how often a request of a route may run.
+// RouteKind states how often a request of a route may run.
 type RouteKind uint8
 
 // The kinds of route.
 const (
 	// KindRepeatable requests may run more than once.
 	KindRepeatable RouteKind = iota
-	// KindOnce requests run once at most.
+	// KindOnce requests run at most once.
 	KindOnce
-	// KindStream requests answer with events; they run once at most unless
-	// the route lets streams be resumed.
+	// KindStream requests are answered with events; they run at most once
+	// unless the route's streams are resumable.
 	KindStream
 )
 
@@ -47,17 +45,17 @@
 	Kind   RouteKind
 	// Splits has at least one entry.
 	Splits []Split
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to its first event, that earns
-	// full credit; GapObjective bounds the pauses between events.
+	// Objective is the target time to the response, or to the first event of a
+	// stream; GapObjective is the target time between events.
 	Objective    time.Duration
 	GapObjective time.Duration
 	MaxAttempts  int
 	Priority     int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another endpoint.
+	// Resumable streams may be resumed at another endpoint.
 	Resumable bool
 }
 
@@ -86,21 +84,22 @@
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// Model is one model that a service's endpoints can load.
+// Model is a model that a service's endpoints can load.
 type Model struct {
 	Name string
 	// Size is the number of endpoints in a replica group.
 	Size int
-	// Fraction is the model's part of the expected work.
+	// Fraction is the model's share of the expected load.
 	Fraction float64
 	// Pace multiplies all of the engine's times.
 	Pace float64
-	// LoadTime is from the weight store, WarmTime from the host's memory.
+	// LoadTime is the time to load the weights from the weight store, WarmTime
+	// from the host's memory.
 	LoadTime time.Duration
 	WarmTime time.Duration
 }
 
-// Engine is the speed of a service's model engines.
+// Engine is the performance model of a service's engines.
 type Engine struct {
 	Slots        int
 	StepTime     time.Duration
@@ -135,7 +134,7 @@
 	Engine *Engine
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a customer.
 type Workspace struct {
 	Name string
 	// Priority takes precedence over the route's if HasPriority is set.
@@ -143,27 +142,27 @@
 	HasPriority bool
 }
 
-// Limits bound what callers may send.
+// Limits bound callers' requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
 	IdleTimeout time.Duration
 }
 
-// Configuration is one version of everything that operators set.
+// Configuration is one version of the operators' configuration.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
-	// Workspaces is by key; nil means that no key is asked for.
+	// Workspaces is keyed by API key; nil means that no key is required.
 	Workspaces map[string]Workspace
 	Limits     Limits
 
 	byHost map[string][]*Route
 }
 
-// Index prepares the configuration for Match. It is called once, before the
-// configuration is shared.
+// Index prepares the configuration for Match. It must be called once, before
+// the configuration is shared.
 func (c *Configuration) Index() {
 	c.byHost = map[string][]*Route{}
 	for i := range c.Routes {
@@ -176,7 +175,7 @@
 	}
 }
 
-// Match finds the route of a host and path: the one with the longest prefix.
+// Match returns the route with the longest matching prefix, or nil.
 func (c *Configuration) Match(host, path string) *Route {
 	for _, r := range c.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -186,10 +185,10 @@
 	return nil
 }
 
-// MemberState is how far an endpoint has come in its replica group.
+// MemberState is the state of an endpoint in its replica group.
 type MemberState uint8
 
-// The states of a member. Only a head opens and closes.
+// The states of a member. Only the head can be open or closing.
 const (
 	MemberNone MemberState = iota
 	MemberJoining
@@ -204,7 +203,7 @@
 // String returns the state in lower case, for logs.
 func (s MemberState) String() string { return memberStates[s] }
 
-// Membership is an endpoint's place in a replica group.
+// Membership is an endpoint's membership in a replica group.
 type Membership struct {
 	Group string
 	Epoch uint64
@@ -212,42 +211,41 @@
 	State MemberState
 }
 
-// Endpoint is what is known about one incarnation of an endpoint.
+// Endpoint is the record of one incarnation of an endpoint.
 type Endpoint struct {
 	ID EndpointID
-	// StartedAt is when this incarnation began, in Unix milliseconds by the endpoint's clock; zero
-	// if it does not say.
+	// StartedAt is when this incarnation started, in Unix milliseconds by the endpoint's clock;
+	// zero if unknown.
 	StartedAt  int64
 	Service    string
 	Address    string
 	DataCentre DataCentre
-	// Domain is the fabric domain; a group across domains is slow.
+	// Domain is the fabric domain; groups that span domains are slower.
 	Domain   string
 	Slots    int
 	Draining bool
-	// Writes counts the writes of its row in this incarnation: of two rows of one incarnation that with
-	// the smaller count is the older.
+	// Writes counts the writes of the endpoint's row in this incarnation. Of two rows of the same
+	// incarnation, the one with the smaller count is older.
 	Writes uint64
-	// Model is that of its last group in this incarnation, which it can start at once;
-	// Staged models are on the endpoint's host.
+	// Model is the model of its last group in this incarnation, which it can start without loading;
+	// the weights of Staged models are in the host's memory.
 	Model      string
 	Staged     []string
 	Membership Membership
 }
 
-// Incarnation names one incarnation of an endpoint: after a restart it knows nothing of before, and
-// nothing that it said before holds.
+// Incarnation identifies one incarnation of an endpoint. A restart loses all state, so reports
+// of an earlier incarnation are invalid.
 type Incarnation struct {
 	ID EndpointID
 	// StartedAt is as in Endpoint.
 	StartedAt int64
 }
 
-// Incarnation returns the incarnation that a record is of.
+// Incarnation returns the incarnation of a record.
 func (e *Endpoint) Incarnation() Incarnation { return Incarnation{e.ID, e.StartedAt} }
 
-// Equal reports whether two records describe the same state of an endpoint. The count of
-// writes is ignored.
+// Equal reports whether two records describe the same state of an endpoint. Writes is ignored.
 func (e *Endpoint) Equal(other *Endpoint) bool {
 	return e.ID == other.ID && e.StartedAt == other.StartedAt && e.Service == other.Service && e.Address == other.Address &&
 		e.DataCentre == other.DataCentre && e.Domain == other.Domain && e.Slots == other.Slots &&
@@ -255,32 +253,32 @@
 		slices.Equal(e.Staged, other.Staged)
 }
 
-// Report is what an endpoint said when it was asked.
+// Report is an endpoint's response to a status request.
 type Report struct {
-	// StartedAt is when the incarnation began that answered, as in Endpoint.
+	// StartedAt is as in Endpoint.
 	StartedAt  int64
 	Membership Membership
 	Model      string
 	Staged     []string
 	Domain     string
-	// Orders counts the orders that this incarnation of the endpoint has taken.
+	// Orders counts the orders that this incarnation has accepted.
 	Orders  uint64
 	Queued  int
 	Running int
 }
 
-// OrderKind is what an order asks of an endpoint.
+// OrderKind is the kind of an order.
 type OrderKind uint8
 
 // The kinds of order.
 const (
 	// OrderJoin makes the endpoint a member of a group.
 	OrderJoin OrderKind = iota
-	// OrderOpen makes a ready head take requests.
+	// OrderOpen makes a ready head accept requests.
 	OrderOpen
-	// OrderClose lets a head finish what it has and take nothing new.
+	// OrderClose makes a head finish its requests and reject new ones.
 	OrderClose
-	// OrderLeave ends the membership at once.
+	// OrderLeave ends the membership immediately.
 	OrderLeave
 	// OrderStage loads a model's weights into the host's memory.
 	OrderStage
@@ -301,6 +299,7 @@
 	Members []EndpointID
 	// Fence is the lease epoch of the controller.
 	Fence uint64
-	// Expected is the number of orders that the endpoint must have taken.
+	// Expected is the number of orders that the endpoint must have accepted;
+	// otherwise it rejects the order.
 	Expected uint64
 }
--- a/pkg/serving/serving_test.go
+++ b/pkg/serving/serving_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatch_LongestPrefixOfHost(t *testing.T) {
 	c := &Configuration{Routes: []Route{
 		{Name: "short", Host: "shop.example", Prefix: "/a/"},
 		{Name: "long", Host: "shop.example", Prefix: "/a/b/"},
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestServiceFollowsTheWeights(t *testing.T) {
+func TestRouteService_FollowsWeights(t *testing.T) {
 	r := Route{Splits: []Split{{"a", 90}, {"b", 10}}}
 	counts := map[string]int{}
 	for hash := range uint64(1000) {
@@ -38,7 +38,7 @@
 	require.Equal(t, map[string]int{"a": 900, "b": 100}, counts)
 }
 
-func TestOnlySomeRoutesRepeat(t *testing.T) {
+func TestRouteRepeatable(t *testing.T) {
 	require.True(t, (&Route{Kind: KindRepeatable}).Repeatable())
 	require.False(t, (&Route{Kind: KindOnce}).Repeatable())
 	require.False(t, (&Route{Kind: KindStream}).Repeatable())
