--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,4 @@
-// Package control holds the node's control state and the goroutine that owns
-// it.
+// Package control has the node's control state and the goroutine that owns it.
 //
 // Loop drives the pure state machines (membership, lease, placement,
 // configuration) with events that other goroutines post: responses of
@@ -136,7 +135,7 @@
 	instances map[fleet.InstanceID]fleet.Instance
 	// unlisted are instances that are no longer listed but still respond.
 	unlisted map[fleet.InstanceID]bool
-	// instancesChanged is when the set of instances last changed.
+	// instancesChangedAt is when the set of instances last changed.
 	instancesChangedAt time.Time
 	watches            map[fleet.InstanceID]*watch
 	watchKey           string
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -28,7 +28,7 @@
 // plans: until then every member appears lost.
 const warmUpDelay = 2 * time.Second
 
-// runController plans and commits while this node holds the lease.
+// runController plans and commits while this node is the leaseholder.
 func (l *Loop) runController(now time.Time) {
 	epoch, held := l.lease.Held(now)
 	if !held || l.stopping {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -29,11 +29,12 @@
 	Slots map[string]int
 	// Remotes are reachable entry instances of other data centres.
 	Remotes []Remote
-	// IsController is set while this node holds the lease of its data centre.
+	// IsController is set while this node is its data centre's leaseholder.
 	IsController bool
 }
 
-// CompleteGroup is the evidence that all members of a group are present.
+// CompleteGroup is a group whose members are all present until the given time,
+// unless newer reports extend it.
 type CompleteGroup struct {
 	Generation uint64
 	Until      time.Time
@@ -51,13 +52,14 @@
 	Pools map[string]PoolLoad
 }
 
-// ModelPool names the pool of a template's groups.
+// ModelPool returns the name of the pool of a template's groups.
 func ModelPool(template string) string { return "model/" + template }
 
-// ServicePool names the pool of a plain service's endpoints.
+// ServicePool returns the name of the pool of a plain service's endpoints.
 func ServicePool(service string) string { return "service/" + service }
 
-// ServiceGroup names the single-endpoint group of a plain service instance.
+// ServiceGroup returns the id of the single-endpoint group of a plain service
+// instance.
 func ServiceGroup(id fleet.InstanceID) fleet.GroupID { return fleet.GroupID("service/" + string(id)) }
 
 // match records since when an endpoint has matched its group.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,8 +29,8 @@
 func (c *call) send(ctx context.Context, target routing.Target, call engine.Call) (*http.Response, error) {
 	now := time.Now()
 	if !now.Before(target.Until) {
-		// The evidence has expired since the target was chosen, for example
-		// because the process was paused.
+		// The target has expired since it was chosen, for example because the
+		// process was paused.
 		return nil, engine.ErrNotRun
 	}
 	invariant.Check(c.parsed.repeatable || !c.mayHaveRun, invariant.AtMostOnce, "request %s, attempt %s", c.id, call.Attempt)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -111,7 +111,7 @@
 		{"no bearer", "POST", engine.PathChat, chatBody, map[string]string{"Authorization": "Basic x"}, 401, "no workspace has this key"},
 		{"bad JSON", "POST", engine.PathChat, `{"messages":`, nil, 400, "the body is not a JSON object"},
 		{"no messages", "POST", engine.PathChat, `{}`, nil, 400, "messages must be a list"},
-		{"stream no bool", "POST", engine.PathChat, `{"messages":[],"stream":"yes"}`, nil, 400, "stream must be true or false"},
+		{"stream not boolean", "POST", engine.PathChat, `{"messages":[],"stream":"yes"}`, nil, 400, "stream must be true or false"},
 		{"unknown model", "POST", engine.PathChat, `{"model":"other","messages":[]}`, nil, 404, `workspace w has no model \"other\"`},
 		{"unknown service", "POST", "/services/other/x", "", nil, 404, `workspace w has no service \"other\"`},
 		{"unknown path", "POST", "/v1/other", "", nil, 404, "the paths are"},
@@ -159,7 +159,7 @@
 		status       int
 		aborted      bool
 	}{
-		{"before the answer", "", 502, false},
+		{"before the response", "", 502, false},
 		{"in the header", "HTTP/1.1 200 OK\r\nContent-Ty", 502, false},
 		{"in the body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", 200, true},
 	} {
@@ -200,7 +200,7 @@
 		{"another attempt", func(a string) string { return event(a, 0, "mine") + event("other-1", 1, "theirs") }},
 		{"repeated", func(a string) string { return event(a, 0, "mine") + event(a, 0, "theirs") }},
 		{"skipped", func(a string) string { return event(a, 0, "mine") + event(a, 2, "theirs") }},
-		{"cut without an end mark", func(a string) string { return event(a, 0, "mine") }},
+		{"cut off before [DONE]", func(a string) string { return event(a, 0, "mine") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestGateway(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -14,7 +14,7 @@
 // restart; Endpoint.StartedAt distinguishes incarnations with the same id.
 type EndpointID string
 
-// DataCentre names a data centre.
+// DataCentre is the name of a data centre.
 type DataCentre string
 
 // RouteKind states how often a request of a route may run.
@@ -105,7 +105,7 @@
 	StepTime     time.Duration
 	PerSequence  time.Duration
 	PerThousand  time.Duration // for each thousand tokens of context
-	TokensPerSec float64       // prompt tokens read a second
+	TokensPerSec float64       // prompt tokens read per second
 	PairsTime    time.Duration // for each million pairs of tokens
 	Chunk        int           // prompt tokens read in one pass
 	StepsPerPass int
