--- a/cmd/ridgehinge/request.go
+++ b/cmd/ridgehinge/request.go
@@ -70,7 +70,7 @@
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(os.Stdout, response.Body); err != nil {
-		return complain(fmt.Errorf("the answer broke off: %w", err))
+		return complain(fmt.Errorf("the response ended early: %w", err))
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return complain(fmt.Errorf("status %d, outcome %s, come back after %s s", response.StatusCode,
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,10 @@
-// Package upstream sends requests to endpoints over kept HTTP/1.1 connections.
+// Package upstream sends requests to endpoints over persistent HTTP/1.1
+// connections.
 //
-// It exists beside net/http's Transport, whose parsers it uses, because three
-// things must be known exactly and the Transport hides them: whether any byte
-// of a request left this process, whether an answer belongs to the request,
-// and whether it came whole. The Transport also repeats some requests by
-// itself, which a request that may run once does not survive.
+// It uses net/http's parsers but not its Transport, which does not report
+// whether any byte of a request was sent, whether a response belongs to the
+// request, and whether a response is complete. The Transport also retries some
+// requests by itself, which is wrong for requests that may run only once.
 package upstream
 
 import (
@@ -31,30 +31,29 @@
 	ErrNotSent = errors.New("the request was not sent")
 	// ErrUnknown means that the request may have run.
 	ErrUnknown = errors.New("the request may have run")
-	// ErrBroken means that an answer ended before it was whole.
-	ErrBroken = errors.New("the answer broke off")
+	// ErrIncomplete means that a response ended before it was complete.
+	ErrIncomplete = errors.New("the response ended early")
 )
 
 const (
 	readBuffer = 4 << 10
-	// maxForeignAnswers is how many answers to earlier requests are skipped
-	// before a connection is given up.
-	maxForeignAnswers = 2
-	// maxForeignBody bounds the body of a skipped answer, in bytes.
-	maxForeignBody = 256 << 10
-	// largeBody is the size from which a body is written beside the reading
-	// of its answer, in bytes: an endpoint may answer before it has read all.
+	// maxUnrelatedResponses is how many responses to earlier requests are
+	// skipped before the connection is closed.
+	maxUnrelatedResponses = 2
+	// maxUnrelatedBody bounds the body of a skipped response, in bytes.
+	maxUnrelatedBody = 256 << 10
+	// largeBody is the size in bytes from which a body is written while the
+	// response is read: an endpoint may respond before it has read the body.
 	largeBody = 32 << 10
-	// maxIdlePerEndpoint bounds the kept connections of one endpoint.
+	// maxIdlePerEndpoint bounds the idle connections to one endpoint.
 	maxIdlePerEndpoint = 64
 )
 
 // Options of a Client.
 type Options struct {
-	// Link bounds the connections.
 	Link link.Bounds
-	// IdleTimeout is how long an unused connection is kept when the endpoint
-	// does not say.
+	// IdleTimeout is how long an idle connection is kept if the endpoint
+	// sends no Keep-Alive timeout.
 	IdleTimeout time.Duration
 }
 
@@ -67,7 +66,7 @@
 	opened  uint64
 }
 
-// New returns a client; it opens no connection yet.
+// New returns a client without open connections.
 func New(o Options) *Client {
 	return &Client{options: o, idle: map[string][]*conn{}}
 }
@@ -76,26 +75,25 @@
 type Request struct {
 	Address string
 	Method  string
-	// URI is the path with the query, sent as it is.
+	// URI is the path with the query, sent unchanged.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: a kept one may have fallen silent, and breaks
-	// where a new one is refused for certain.
+	// Fresh requires a new connection. A failure on a dead reused connection
+	// leaves open whether the request ran; a failed dial does not.
 	Fresh bool
-	// Gate is asked when a connection is at hand, before the first byte is written: a dial
-	// takes time, in which the endpoint may have come to be off limits. Its error is that of
-	// Send, as ErrNotSent. nil lets all pass.
+	// Gate, if set, is called once a connection is open, before the first byte is
+	// written, since the endpoint may have become ineligible during the dial. Send
+	// returns its error wrapped in ErrNotSent.
 	Gate func() error
 }
 
-// conn is one connection to an endpoint.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// until is when the endpoint may close it by itself.
-	until time.Time
+	// expiresAt is when the endpoint may close the idle connection.
+	expiresAt time.Time
 }
 
 // Opened returns the number of connections opened so far.
@@ -117,14 +115,14 @@
 	}
 }
 
-// Prune closes the idle connections whose time is over.
+// Prune closes the idle connections that have expired.
 func (c *Client) Prune(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conns := range c.idle {
 		kept := conns[:0]
 		for _, candidate := range conns {
-			if now.After(candidate.until) {
+			if now.After(candidate.expiresAt) {
 				_ = candidate.Close()
 				continue
 			}
@@ -138,8 +136,8 @@
 	}
 }
 
-// take returns a kept connection that still looks alive.
-func (c *Client) take(address string) *conn {
+// takeIdle removes and returns an idle connection that is still usable, or nil.
+func (c *Client) takeIdle(address string) *conn {
 	for {
 		c.mu.Lock()
 		conns := c.idle[address]
@@ -150,16 +148,16 @@
 		kept := conns[len(conns)-1]
 		c.idle[address] = conns[:len(conns)-1]
 		c.mu.Unlock()
-		if time.Now().Before(kept.until) && kept.quiet() {
+		if time.Now().Before(kept.expiresAt) && kept.alive() {
 			return kept
 		}
 		_ = kept.Close()
 	}
 }
 
-// quiet reports whether nothing has come on an idle connection: neither its
-// end nor bytes that belong to no request.
-func (k *conn) quiet() bool {
+// alive reports whether an idle connection is still open and has received no
+// unsolicited bytes.
+func (k *conn) alive() bool {
 	if k.reader.Buffered() > 0 {
 		return false
 	}
@@ -167,17 +165,17 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	alive := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = readErr == syscall.EAGAIN
+		alive = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && alive
 }
 
-func (c *Client) put(address string, k *conn) {
+func (c *Client) putIdle(address string, k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[address]) >= maxIdlePerEndpoint {
@@ -187,12 +185,12 @@
 	c.idle[address] = append(c.idle[address], k)
 }
 
-// putBack keeps a connection that was not used after all.
-func (c *Client) putBack(address string, k *conn, kept bool) {
-	if !kept {
-		k.until = time.Now().Add(c.options.IdleTimeout)
+// returnUnused puts back a connection on which nothing was sent.
+func (c *Client) returnUnused(address string, k *conn, reused bool) {
+	if !reused {
+		k.expiresAt = time.Now().Add(c.options.IdleTimeout)
 	}
-	c.put(address, k)
+	c.putIdle(address, k)
 }
 
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
@@ -206,8 +204,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// Reach opens a connection to an address and closes it: an error tells that nothing
-// listens there, or that it cannot be reached.
+// Reach opens a connection to an address and closes it. It fails if nothing
+// listens there or the address is unreachable.
 func (c *Client) Reach(ctx context.Context, address string) error {
 	k, err := c.dial(ctx, address)
 	if err != nil {
@@ -216,64 +214,64 @@
 	return k.Close()
 }
 
-// Send sends a request and returns once the head of its answer is there.
-// own tells whether an answer's header belongs to this request; others are
-// skipped. An error is ErrNotSent or ErrUnknown. The caller closes the
-// answer.
-func (c *Client) Send(ctx context.Context, q Request, own func(http.Header) bool) (*Response, error) {
+// Send sends a request and returns once the response's header was read.
+// matches reports whether a response with that header belongs to this request;
+// other responses are skipped. Errors wrap ErrNotSent or ErrUnknown. The caller
+// closes the response.
+func (c *Client) Send(ctx context.Context, q Request, matches func(http.Header) bool) (*Response, error) {
 	k := (*conn)(nil)
 	if !q.Fresh {
-		k = c.take(q.Address)
+		k = c.takeIdle(q.Address)
 	}
-	kept := k != nil
+	reused := k != nil
 	if k == nil {
 		var err error
 		if k, err = c.dial(ctx, q.Address); err != nil {
-			return nil, fail(ErrNotSent, err)
+			return nil, wrapError(ErrNotSent, err)
 		}
 	}
 	if q.Gate != nil {
 		if err := q.Gate(); err != nil {
-			c.putBack(q.Address, k, kept)
-			return nil, fail(ErrNotSent, err)
+			c.returnUnused(q.Address, k, reused)
+			return nil, wrapError(ErrNotSent, err)
 		}
 	}
 	deadline, _ := ctx.Deadline()
 	_ = k.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(time.Unix(1, 0)) })
-	wrote, err := k.write(q)
+	written, err := k.write(q)
 	if err != nil {
 		stop()
-		c.broken(q.Address, k, kept)
+		c.discard(q.Address, k, reused)
 		return nil, err
 	}
-	answer, err := k.readHead(q.Method, own)
+	response, err := k.readResponse(q.Method, matches)
 	if err != nil {
 		stop()
-		c.broken(q.Address, k, kept)
-		return nil, fail(ErrUnknown, err)
+		c.discard(q.Address, k, reused)
+		return nil, wrapError(ErrUnknown, err)
 	}
 	return &Response{
-		Status: answer.StatusCode,
-		Header: answer.Header,
-		Length: answer.ContentLength,
-		Marked: answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0,
-		body:   answer.Body,
-		close:  answer.Close,
-		client: c,
-		conn:   k,
-		addr:   q.Address,
-		stop:   stop,
-		wrote:  wrote,
+		Status:  response.StatusCode,
+		Header:  response.Header,
+		Length:  response.ContentLength,
+		Marked:  response.ContentLength >= 0 || len(response.TransferEncoding) > 0,
+		body:    response.Body,
+		close:   response.Close,
+		client:  c,
+		conn:    k,
+		addr:    q.Address,
+		stop:    stop,
+		written: written,
 	}, nil
 }
 
-// broken closes a connection that gave no answer. If it was a kept one, the others that
-// are kept to the endpoint go with it: whatever has become of it, a restart or a silence
-// without a reset, has most likely become of them.
-func (c *Client) broken(address string, k *conn, kept bool) {
+// discard closes a connection that failed before a response. If it was a reused one,
+// it also closes the endpoint's idle connections: a restart of the endpoint or a
+// silent network failure most likely broke them too.
+func (c *Client) discard(address string, k *conn, reused bool) {
 	_ = k.Close()
-	if !kept {
+	if !reused {
 		return
 	}
 	c.mu.Lock()
@@ -284,12 +282,12 @@
 	delete(c.idle, address)
 }
 
-func fail(kind, cause error) error {
+func wrapError(kind, cause error) error {
 	return oops.In("upstream").Wrap(fmt.Errorf("%w: %w", kind, cause))
 }
 
-// write sends the request. The channel is closed once all of it is written;
-// a large body may still be under way on return.
+// write sends the request. The channel is closed once all of it is written,
+// which may be after the return if the body is large.
 func (k *conn) write(q Request) (<-chan struct{}, error) {
 	head := q.head()
 	done := make(chan struct{})
@@ -297,18 +295,18 @@
 		defer close(done)
 		n, err := k.Write(append(head, q.Body...))
 		if err != nil && n == 0 {
-			return done, fail(ErrNotSent, err)
+			return done, wrapError(ErrNotSent, err)
 		}
 		if err != nil {
-			return done, fail(ErrUnknown, err)
+			return done, wrapError(ErrUnknown, err)
 		}
 		return done, nil
 	}
 	if n, err := k.Write(head); err != nil {
 		if n == 0 {
-			return done, fail(ErrNotSent, err)
+			return done, wrapError(ErrNotSent, err)
 		}
-		return done, fail(ErrUnknown, err)
+		return done, wrapError(ErrUnknown, err)
 	}
 	go func() {
 		if _, err := k.Write(q.Body); err == nil {
@@ -336,64 +334,65 @@
 	return append(b, "\r\n"...)
 }
 
-// readHead reads answers until one belongs to the request.
-func (k *conn) readHead(method string, own func(http.Header) bool) (*http.Response, error) {
-	for foreign := 0; ; {
-		answer, err := http.ReadResponse(k.reader, &http.Request{Method: method})
+// readResponse reads responses until one belongs to the request.
+func (k *conn) readResponse(method string, matches func(http.Header) bool) (*http.Response, error) {
+	for unrelated := 0; ; {
+		response, err := http.ReadResponse(k.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode < http.StatusOK {
+		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if own(answer.Header) {
-			return answer, nil
+		if matches(response.Header) {
+			return response, nil
 		}
-		if foreign++; foreign > maxForeignAnswers || answer.Close || answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
-			return nil, errors.New("an answer to another request came")
+		if unrelated++; unrelated > maxUnrelatedResponses || response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+			return nil, errors.New("received a response to another request")
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxForeignBody)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnrelatedBody)); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// Response is an answer whose body is still to be read.
+// Response is a response whose body has not been read yet.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 if it is not told ahead.
+	// Length is the body's length, or -1 if unknown.
 	Length int64
-	// Marked is set if the answer tells where it ends, by a length or a last chunk. One
-	// that ends with its connection may also have been cut short.
-	Marked bool
-	body   io.ReadCloser
-	close  bool
-	client *Client
-	conn   *conn
-	addr   string
-	stop   func() bool
-	wrote  <-chan struct{}
-	whole  bool
-	closed bool
+	// Marked is set if the body is delimited by a length or chunked encoding. A body
+	// that is delimited by the connection's close may be truncated unnoticed.
+	Marked   bool
+	body     io.ReadCloser
+	close    bool
+	client   *Client
+	conn     *conn
+	addr     string
+	stop     func() bool
+	written  <-chan struct{}
+	complete bool
+	closed   bool
 }
 
-// Read reads the body. io.EOF says that it came whole; any other error is
-// ErrBroken.
+// Read reads the body. It returns io.EOF at the end of a complete body and an
+// error that wraps ErrIncomplete otherwise.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		r.whole = true
+		r.complete = true
 		return n, io.EOF
 	}
-	return n, fail(ErrBroken, err)
+	return n, wrapError(ErrIncomplete, err)
 }
 
-// Close ends the answer. The connection is kept only if nothing on it is in
-// doubt; an answer that was not read whole ends the endpoint's run.
+// Close finishes the response. The connection is reused only if the request was
+// sent and the response was read completely; otherwise it is closed, which cancels
+// the request at the endpoint.
 func (r *Response) Close() {
 	if r.closed {
 		return
@@ -408,16 +407,16 @@
 		_ = r.conn.Close()
 		return
 	}
-	r.conn.until = time.Now().Add(keepFor(r.Header, r.client.options.IdleTimeout))
-	r.client.put(r.addr, r.conn)
+	r.conn.expiresAt = time.Now().Add(keepAliveTimeout(r.Header, r.client.options.IdleTimeout))
+	r.client.putIdle(r.addr, r.conn)
 }
 
 func (r *Response) reusable() bool {
-	if !r.whole || r.close || r.conn.reader.Buffered() > 0 {
+	if !r.complete || r.close || r.conn.reader.Buffered() > 0 {
 		return false
 	}
 	select {
-	case <-r.wrote:
+	case <-r.written:
 		return true
 	default:
 		return false
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,10 +16,9 @@
 	"github.com/ridgehinge/ridgehinge/internal/link"
 )
 
-// scripted listens and hands each request that it reads to a script, which
-// writes whatever bytes it likes. The number counts requests over all
-// connections.
-func scripted(t *testing.T, script func(c net.Conn, request *http.Request, number int)) string {
+// scriptedServer starts a server that passes each request to a script, which writes
+// raw bytes to the connection. number counts the requests of all connections.
+func scriptedServer(t *testing.T, script func(c net.Conn, request *http.Request, number int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -55,9 +54,9 @@
 	return New(Options{Link: link.New(nil), IdleTimeout: time.Minute})
 }
 
-func ask(c *Client, address, id string) (*Response, error) {
+func get(c *Client, address, id string) (*Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	_ = cancel // The answer's body is read under this context.
+	_ = cancel // The response's body is read under this context.
 	return c.Send(ctx, Request{
 		Address: address,
 		Method:  http.MethodGet,
@@ -67,30 +66,30 @@
 	}, func(h http.Header) bool { return h.Get("Id") == id })
 }
 
-func answer(id, body string) string {
+func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func TestConnectionsAreKeptOnlyWhenNothingIsInDoubt(t *testing.T) {
+func TestSend_ReusesOnlyCleanConnections(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		text func(id string) string
-		kept bool
+		name   string
+		text   func(id string) string
+		reused bool
 	}{
-		{"whole", func(id string) string { return answer(id, "yes") }, true},
-		{"told to close", func(id string) string {
+		{"complete", func(id string) string { return responseText(id, "yes") }, true},
+		{"connection: close", func(id string) string {
 			return "HTTP/1.1 200 OK\r\nConnection: close\r\nId: " + id + "\r\nContent-Length: 3\r\n\r\nyes"
 		}, false},
-		{"bytes after the answer", func(id string) string { return answer(id, "yes") + "HTTP/1.1 200 OK\r\n" }, false},
-		{"idle time is over at once", func(id string) string {
+		{"bytes after the response", func(id string) string { return responseText(id, "yes") + "HTTP/1.1 200 OK\r\n" }, false},
+		{"zero idle timeout", func(id string) string {
 			return "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nId: " + id + "\r\nContent-Length: 3\r\n\r\nyes"
 		}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			address := scripted(t, func(c net.Conn, r *http.Request, _ int) { _, _ = io.WriteString(c, test.text(r.Header.Get("Id"))) })
+			address := scriptedServer(t, func(c net.Conn, r *http.Request, _ int) { _, _ = io.WriteString(c, test.text(r.Header.Get("Id"))) })
 			client := testClient()
 			for _, id := range []string{"a", "b"} {
-				response, err := ask(client, address, id)
+				response, err := get(client, address, id)
 				require.NoError(t, err)
 				body, err := io.ReadAll(response)
 				require.NoError(t, err)
@@ -98,7 +97,7 @@
 				response.Close()
 			}
 			want := uint64(2)
-			if test.kept {
+			if test.reused {
 				want = 1
 			}
 			require.Equal(t, want, client.Opened())
@@ -106,85 +105,85 @@
 	}
 }
 
-func TestAnswersToOtherRequestsAreSkipped(t *testing.T) {
-	address := scripted(t, func(c net.Conn, r *http.Request, _ int) {
-		_, _ = io.WriteString(c, answer("earlier", "not yours")+answer(r.Header.Get("Id"), "yours"))
+func TestSend_SkipsUnrelatedResponses(t *testing.T) {
+	address := scriptedServer(t, func(c net.Conn, r *http.Request, _ int) {
+		_, _ = io.WriteString(c, responseText("earlier", "not yours")+responseText(r.Header.Get("Id"), "yours"))
 	})
-	response, err := ask(testClient(), address, "a")
+	response, err := get(testClient(), address, "a")
 	require.NoError(t, err)
 	body, err := io.ReadAll(response)
 	require.NoError(t, err)
 	require.Equal(t, "yours", string(body))
 }
 
-func TestBrokenAnswersAreNeverWhole(t *testing.T) {
+func TestRead_TruncatedBodyIsIncomplete(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\nyes",
 		"HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n",
 	} {
-		address := scripted(t, func(c net.Conn, _ *http.Request, _ int) {
+		address := scriptedServer(t, func(c net.Conn, _ *http.Request, _ int) {
 			_, _ = io.WriteString(c, text)
 			_ = c.Close()
 		})
-		response, err := ask(testClient(), address, "a")
+		response, err := get(testClient(), address, "a")
 		require.NoError(t, err)
 		_, err = io.ReadAll(response)
-		require.ErrorIs(t, err, ErrBroken)
+		require.ErrorIs(t, err, ErrIncomplete)
 	}
 }
 
-// A body without a length ends with its connection; a reset is no end.
-func TestResetIsNotTheEndOfABodyWithoutLength(t *testing.T) {
-	address := scripted(t, func(c net.Conn, _ *http.Request, _ int) {
+// A body without a length ends with the connection's close, but not with a reset.
+func TestRead_ResetIsIncompleteWithoutLength(t *testing.T) {
+	address := scriptedServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nyes")
 		time.Sleep(50 * time.Millisecond)
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
 	})
-	response, err := ask(testClient(), address, "a")
+	response, err := get(testClient(), address, "a")
 	require.NoError(t, err)
 	_, err = io.ReadAll(response)
-	require.ErrorIs(t, err, ErrBroken)
+	require.ErrorIs(t, err, ErrIncomplete)
 }
 
-func TestErrorsTellWhetherBytesLeft(t *testing.T) {
+func TestSend_ErrorDependsOnBytesSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	_, err = ask(testClient(), address, "a")
+	_, err = get(testClient(), address, "a")
 	require.ErrorIs(t, err, ErrNotSent)
 
-	address = scripted(t, func(c net.Conn, _ *http.Request, _ int) { _ = c.Close() })
-	_, err = ask(testClient(), address, "a")
+	address = scriptedServer(t, func(c net.Conn, _ *http.Request, _ int) { _ = c.Close() })
+	_, err = get(testClient(), address, "a")
 	require.ErrorIs(t, err, ErrUnknown)
 }
 
-// net/http's Transport sends a GET again by itself when a kept connection
-// breaks; an endpoint must see each request once.
-func TestNothingIsRepeatedOnABrokenKeptConnection(t *testing.T) {
+// net/http's Transport retries a GET when a reused connection breaks; an endpoint
+// must receive each request once.
+func TestSend_NoRetryOnBrokenReusedConnection(t *testing.T) {
 	arrived := make(chan struct{}, 10)
-	address := scripted(t, func(c net.Conn, r *http.Request, number int) {
+	address := scriptedServer(t, func(c net.Conn, r *http.Request, number int) {
 		arrived <- struct{}{}
 		if number == 0 {
-			_, _ = io.WriteString(c, answer("a", "yes"))
+			_, _ = io.WriteString(c, responseText("a", "yes"))
 			return
 		}
 		_ = c.Close()
 	})
 	client := testClient()
-	response, err := ask(client, address, "a")
+	response, err := get(client, address, "a")
 	require.NoError(t, err)
 	_, _ = io.ReadAll(response)
 	response.Close()
-	_, err = ask(client, address, "b")
+	_, err = get(client, address, "b")
 	require.ErrorIs(t, err, ErrUnknown)
 	require.Len(t, arrived, 2)
 }
 
-func TestCancelEndsAnAnswerAtOnce(t *testing.T) {
+func TestSend_CancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
-	address := scripted(t, func(c net.Conn, _ *http.Request, _ int) {
+	address := scriptedServer(t, func(c net.Conn, _ *http.Request, _ int) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\nyes")
 		_, err := c.Read(make([]byte, 1))
 		if errors.Is(err, io.EOF) {
@@ -197,43 +196,42 @@
 	require.NoError(t, err)
 	cancel()
 	_, err = io.ReadAll(response)
-	require.ErrorIs(t, err, ErrBroken)
+	require.ErrorIs(t, err, ErrIncomplete)
 	response.Close()
 	<-closed
 }
 
-func TestKeepFor(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for _, test := range []struct {
 		header string
 		want   time.Duration
 	}{
 		{"", time.Minute},
-		{"timeout=5", 5*time.Second - keepMargin},
-		{"max=3, timeout=5", 5*time.Second - keepMargin},
+		{"timeout=5", 5*time.Second - idleMargin},
+		{"max=3, timeout=5", 5*time.Second - idleMargin},
 		{"timeout=0", 0},
 		{"timeout=x", time.Minute},
 	} {
-		require.Equal(t, test.want, keepFor(http.Header{"Keep-Alive": {test.header}}, time.Minute), test.header)
+		require.Equal(t, test.want, keepAliveTimeout(http.Header{"Keep-Alive": {test.header}}, time.Minute), test.header)
 	}
 }
 
-// A request that is held back once its connection is open leaves no byte, and the connection
-// for the next one.
-func TestGate_HeldBackRequestsLeaveNoByte(t *testing.T) {
+// A request rejected by Gate must send no byte and leave its connection reusable.
+func TestGate_RejectedRequestsSendNothing(t *testing.T) {
 	arrived := make(chan string, 10)
-	address := scripted(t, func(c net.Conn, r *http.Request, _ int) {
+	address := scriptedServer(t, func(c net.Conn, r *http.Request, _ int) {
 		arrived <- r.Header.Get("Id")
-		_, _ = io.WriteString(c, answer(r.Header.Get("Id"), "yes"))
+		_, _ = io.WriteString(c, responseText(r.Header.Get("Id"), "yes"))
 	})
 	client := testClient()
-	errHeld := errors.New("held")
-	for _, id := range []string{"new connection", "kept connection"} {
+	errRejected := errors.New("rejected")
+	for _, id := range []string{"new connection", "reused connection"} {
 		_, err := client.Send(t.Context(), Request{Address: address, Method: http.MethodGet, URI: "/x", Host: "h",
-			Header: http.Header{"Id": {id}}, Gate: func() error { return errHeld }}, func(http.Header) bool { return true })
+			Header: http.Header{"Id": {id}}, Gate: func() error { return errRejected }}, func(http.Header) bool { return true })
 		require.ErrorIs(t, err, ErrNotSent)
-		require.ErrorIs(t, err, errHeld)
+		require.ErrorIs(t, err, errRejected)
 	}
-	response, err := ask(client, address, "sent")
+	response, err := get(client, address, "sent")
 	require.NoError(t, err)
 	body, err := io.ReadAll(response)
 	require.NoError(t, err)
