--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,8 @@
-// Package engine talks to endpoints: model engines and plain services.
+// Package engine is the HTTP client for endpoints: model engines and plain
+// services.
 //
-// It uses net/http's Transport, the nearest kin of nbhttp's client that hands
-// a streamed answer over while it arrives.
+// It uses net/http's Transport because nbhttp's client does not deliver a
+// streamed response while it arrives.
 package engine
 
 import (
@@ -28,47 +29,46 @@
 
 // Errors of this layer.
 var (
-	// ErrNotRun means that the endpoint certainly did not start the request:
-	// no byte of it left, or the endpoint said so.
+	// ErrNotRun means that the endpoint did not start the request: no byte of it
+	// was sent, or the response has HeaderNotStarted.
 	ErrNotRun = errors.New("the request did not run")
 	// ErrUnknown means that the request may have run.
 	ErrUnknown = errors.New("the request may have run")
 	// ErrRefused means that nothing listens at the endpoint's address.
 	ErrRefused = errors.New("the endpoint refused the connection")
-	// ErrStale means that the endpoint has seen a higher fence, or another
-	// incarnation answers at its address.
+	// ErrStale means that the endpoint has seen a higher fencing token, or that
+	// another incarnation responded at its address.
 	ErrStale = errors.New("the order is out of date")
 )
 
 const (
-	maxStatus   = 16 << 10
-	idlePerHost = 256
-	idleTimeout = 90 * time.Second
+	maxStatusBody  = 16 << 10
+	maxIdlePerHost = 256
+	idleTimeout    = 90 * time.Second
 )
 
-// Client talks to any number of endpoints. It is safe for concurrent use.
+// Client calls any number of endpoints. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// once carries requests that may run once only, each on a connection of
-	// its own. The transport repeats a request by itself when a reused
-	// connection turns out to be closed, and takes an Idempotency-Key for a
-	// permission to do so; on a new connection it never does.
-	once *http.Client
-	// control is apart from traffic, so that a status poll never waits
-	// behind requests and its bytes can be counted.
+	// singleUse opens a connection for each request that may run only once. The
+	// transport retries a request with an Idempotency-Key if a reused connection
+	// turns out to be closed, but never on a new connection.
+	singleUse *http.Client
+	// control is separate from request traffic, so that status polls do not wait
+	// for requests and control bytes can be counted.
 	control *http.Client
 	bytes   *bytecount.Counter
 	dialer  *net.Dialer
 }
 
-// New returns a client; it opens no connection yet. Connections leave from
-// the source address, unless that is nil.
+// New returns a client whose connections are bound to the source address,
+// unless that is nil.
 func New(source net.Addr) *Client {
 	dialer := link.New(source).Dialer()
 	counts := &bytecount.Counter{}
 	traffic := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -78,26 +78,26 @@
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	once := &http.Transport{
+	singleUse := &http.Transport{
 		DialContext:        dialer.DialContext,
 		DisableKeepAlives:  true,
 		DisableCompression: true,
 	}
 	return &Client{
-		http:    &http.Client{Transport: traffic, CheckRedirect: noRedirect},
-		once:    &http.Client{Transport: once, CheckRedirect: noRedirect},
-		control: &http.Client{Transport: control},
-		bytes:   counts,
-		dialer:  dialer,
+		http:      &http.Client{Transport: traffic, CheckRedirect: noRedirect},
+		singleUse: &http.Client{Transport: singleUse, CheckRedirect: noRedirect},
+		control:   &http.Client{Transport: control},
+		bytes:     counts,
+		dialer:    dialer,
 	}
 }
 
-// noRedirect hands a redirect to the caller: following it would run a
+// noRedirect returns redirects to the caller: following one would run the
 // request twice.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Reach opens a connection to an address and closes it: an error tells that nothing listens
-// there, or that it cannot be reached.
+// Reach opens a connection to an address and closes it. It fails if nothing listens
+// there or the address is unreachable.
 func (c *Client) Reach(ctx context.Context, address string) error {
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -106,33 +106,33 @@
 	return oops.In("engine").Wrap(conn.Close())
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 	c.control.CloseIdleConnections()
 }
 
-// ControlBytes returns the counter of control bytes.
+// ControlBytes returns the byte counter of the control connections.
 func (c *Client) ControlBytes() *bytecount.Counter { return c.bytes }
 
-// Status asks an endpoint about itself. The tag is the one of the last
-// answer; an unchanged endpoint answers without a body, and ok is false.
+// Status requests an endpoint's status. tag is the ETag of the last response;
+// if the status is unchanged, changed is false and the report is empty.
 func (c *Client) Status(ctx context.Context, address, tag string) (r fleet.Report, newTag string, changed bool, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathStatus, nil)
 	if err != nil {
 		return r, "", false, oops.In("engine").Wrap(err)
 	}
-	// An empty User-Agent is left out; the poll is the most frequent message.
+	// An empty value omits the header, which saves bytes on each poll.
 	request.Header.Set("User-Agent", "")
 	if tag != "" {
 		request.Header.Set("If-None-Match", tag)
 	}
 	response, err := c.control.Do(request)
 	if err != nil {
-		return r, "", false, turnDial(err)
+		return r, "", false, wrapDialError(err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxStatus))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxStatusBody))
 	if err != nil {
 		return r, "", false, oops.In("engine").Wrap(err)
 	}
@@ -141,7 +141,7 @@
 		return r, tag, false, nil
 	case http.StatusOK:
 	default:
-		return r, "", false, oops.In("engine").Errorf("status answered %d", response.StatusCode)
+		return r, "", false, oops.In("engine").Errorf("status request returned %d", response.StatusCode)
 	}
 	if err := json.Unmarshal(body, &r); err != nil {
 		return r, "", false, oops.In("engine").Wrap(err)
@@ -149,7 +149,7 @@
 	return r, response.Header.Get("ETag"), true, nil
 }
 
-func turnDial(err error) error {
+func wrapDialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return oops.In("engine").Wrap(fmt.Errorf("%w: %v", ErrRefused, err))
 	}
@@ -168,20 +168,20 @@
 	}
 	response, err := c.control.Do(request)
 	if err != nil {
-		return turnDial(err)
+		return wrapDialError(err)
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxStatus))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxStatusBody))
 	switch response.StatusCode {
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
 		return oops.In("engine").Wrap(ErrStale)
 	}
-	return oops.In("engine").Errorf("order answered %d", response.StatusCode)
+	return oops.In("engine").Errorf("order request returned %d", response.StatusCode)
 }
 
-// Call is one try to run a request on an endpoint.
+// Call is one attempt to run a request on an endpoint.
 type Call struct {
 	Method  string
 	Address string
@@ -195,24 +195,23 @@
 	Fence      fleet.Fence
 	ResumeFrom int
 	Priority   int
-	// Once marks a request that may not be repeated.
+	// Once marks a request that must not be retried.
 	Once bool
 }
 
-// Do sends the request and returns once the answer's header is there. The
-// caller closes the body. An error is ErrNotRun or ErrUnknown.
+// Do sends the request and returns once the response's header was read. The
+// caller closes the body. Errors wrap ErrNotRun or ErrUnknown.
 func (c *Client) Do(ctx context.Context, call Call) (*http.Response, error) {
-	var wrote atomic.Bool
+	var maybeSent atomic.Bool
 	trace := &httptrace.ClientTrace{
-		// A connection that was got may carry the header at once, so from
-		// here on nobody can say that no byte left.
-		GotConn: func(httptrace.GotConnInfo) { wrote.Store(true) },
+		// Once the transport has a connection, it may already have sent bytes.
+		GotConn: func(httptrace.GotConnInfo) { maybeSent.Store(true) },
 	}
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	url := "http://" + call.Address + call.Path
 	request, err := http.NewRequestWithContext(ctx, call.Method, url, bytes.NewReader(call.Body))
 	if err != nil {
-		return nil, notRun(err)
+		return nil, wrapNotRun(err)
 	}
 	for name, values := range call.Header {
 		request.Header[name] = values
@@ -220,23 +219,23 @@
 	call.setHeaders(request.Header)
 	client := c.http
 	if call.Once {
-		client = c.once
+		client = c.singleUse
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		if !wrote.Load() {
-			return nil, notRun(err)
+		if !maybeSent.Load() {
+			return nil, wrapNotRun(err)
 		}
 		return nil, oops.In("engine").Wrap(fmt.Errorf("%w: %v", ErrUnknown, err))
 	}
 	if response.Header.Get(HeaderNotStarted) != "" {
 		response.Body.Close()
-		return nil, notRun(fmt.Errorf("the endpoint answered %d", response.StatusCode))
+		return nil, wrapNotRun(fmt.Errorf("the endpoint responded with %d", response.StatusCode))
 	}
 	return response, nil
 }
 
-func notRun(err error) error {
+func wrapNotRun(err error) error {
 	return oops.In("engine").Wrap(fmt.Errorf("%w: %v", ErrNotRun, err))
 }
 
@@ -253,7 +252,7 @@
 	}
 }
 
-// Cancel tells an endpoint that nobody waits for an attempt any more.
+// Cancel cancels an attempt at an endpoint.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
 	url := "http://" + address + PathCancel + "?attempt=" + attempt
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
@@ -262,7 +261,7 @@
 	}
 	response, err := c.control.Do(request)
 	if err != nil {
-		return turnDial(err)
+		return wrapDialError(err)
 	}
 	return response.Body.Close()
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fickle serves one request on each connection and closes the connection as
-// soon as the next one has come, as a server does that stops or times out.
-func fickle(t *testing.T) (address string, received *atomic.Int64) {
+// startClosingServer starts a server that serves one request per connection and closes
+// the connection when it receives the next one, like a server that stops.
+func startClosingServer(t *testing.T) (address string, received *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -29,13 +29,13 @@
 			if err != nil {
 				return
 			}
-			go serveFickle(conn, received)
+			go serveOneRequest(conn, received)
 		}
 	}()
 	return listener.Addr().String(), received
 }
 
-func serveFickle(conn net.Conn, received *atomic.Int64) {
+func serveOneRequest(conn net.Conn, received *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for n := 0; ; n++ {
@@ -52,12 +52,12 @@
 	}
 }
 
-// The transport repeats a request with an Idempotency-Key and no body when a
-// reused connection breaks; a request that may run once only must not meet
-// that. Without Once, the same calls show that the transport does it.
-func TestOnceIsSentOnce(t *testing.T) {
+// The transport retries a request with an Idempotency-Key and no body when a
+// reused connection breaks, which must not happen with Once. The calls without
+// Once show that the transport still does it.
+func TestDo_OnceIsNotRetried(t *testing.T) {
 	for _, once := range []bool{true, false} {
-		address, received := fickle(t)
+		address, received := startClosingServer(t)
 		client := New(nil)
 		defer client.Close()
 		call := Call{Method: http.MethodPost, Address: address, Path: "/pay", Attempt: "a-1", Once: once, Header: http.Header{"Idempotency-Key": {"k"}}}
@@ -72,12 +72,12 @@
 		if once {
 			assert.Equal(t, sent, received.Load())
 		} else {
-			assert.Greater(t, received.Load(), sent, "the transport no longer repeats; Once may be dropped")
+			assert.Greater(t, received.Load(), sent, "the transport no longer retries; Once can be removed")
 		}
 	}
 }
 
-func TestNotRun(t *testing.T) {
+func TestDo_RefusedConnectionIsNotRun(t *testing.T) {
 	client := New(nil)
 	defer client.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,20 +85,20 @@
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
 	_, err = client.Do(context.Background(), Call{Method: http.MethodPost, Address: address, Path: "/"})
-	assert.ErrorIs(t, err, ErrNotRun, "nobody listens")
+	assert.ErrorIs(t, err, ErrNotRun, "nothing listens")
 	_, _, _, err = client.Status(context.Background(), address, "")
 	assert.ErrorIs(t, err, ErrRefused)
 }
 
-func TestStream(t *testing.T) {
+func TestStream_Read(t *testing.T) {
 	const good = `data: {"id":"a","ridgehinge_token":0,"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	for _, c := range []struct {
 		name, text string
 		want       error
 	}{
-		{"foreign", strings.Replace(good, `"a"`, `"b"`, 1), ErrForeign},
-		{"out of order", strings.Replace(good, ":0", ":1", 1), ErrForeign},
-		{"garbage", "data: {\n\n", nil},
+		{"another attempt", strings.Replace(good, `"a"`, `"b"`, 1), ErrUnexpectedEvent},
+		{"out of order", strings.Replace(good, ":0", ":1", 1), ErrUnexpectedEvent},
+		{"invalid JSON", "data: {\n\n", nil},
 		{"no choice", `data: {"id":"a","choices":[]}` + "\n\n", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -13,42 +13,42 @@
 	"github.com/tidwall/gjson"
 )
 
-// ErrForeign means that an event belongs to another attempt or is out of
-// order: it must not reach the caller.
-var ErrForeign = errors.New("an event of another answer")
+// ErrUnexpectedEvent means that an event belongs to another attempt or is out of
+// order; it must not be sent to the caller.
+var ErrUnexpectedEvent = errors.New("event belongs to another attempt or is out of order")
 
 const (
 	dataPrefix = "data: "
-	doneMark   = "[DONE]"
+	doneMarker = "[DONE]"
 	readBuffer = 4 << 10
 )
 
-// Stream reads the events of one attempt's answer.
+// Stream reads the events of one attempt's response.
 type Stream struct {
 	reader  *bufio.Reader
 	attempt string
-	// Next is the index of the token that must come next.
+	// Next is the index of the next expected token.
 	Next int
 }
 
-// NewStream reads an answer that must belong to the attempt and start at the
-// token given.
+// NewStream returns a stream of events that must belong to the attempt and
+// start at token index from.
 func NewStream(body io.Reader, attempt string, from int) *Stream {
 	return &Stream{reader: bufio.NewReaderSize(body, readBuffer), attempt: attempt, Next: from}
 }
 
-// Event is one step of an answer.
+// Event is one event of a response.
 type Event struct {
-	// Content is the new text as a JSON string, still encoded.
+	// Content is the added text as an encoded JSON string.
 	Content json.RawMessage
-	// Finish is the reason of the end, on the last event with content.
+	// Finish is the finish reason, on the last event with content.
 	Finish string
-	// Done is set when the endpoint has said that the answer is whole.
+	// Done is set on the event that marks the response as complete.
 	Done bool
 }
 
-// Read returns the next event. io.ErrUnexpectedEOF means that the answer was
-// cut: the endpoint never said that it was whole.
+// Read returns the next event. It returns io.ErrUnexpectedEOF if the response
+// ended before the event that marks it as complete.
 func (s *Stream) Read() (Event, error) {
 	for {
 		line, err := s.reader.ReadSlice('\n')
@@ -60,34 +60,33 @@
 		if !ok {
 			continue
 		}
-		if string(data) == doneMark {
+		if string(data) == doneMarker {
 			return Event{Done: true}, nil
 		}
-		return s.event(data)
+		return s.parseEvent(data)
 	}
 }
 
-// event reads the few fields that matter, once for each token: decoding the
-// whole event into structs took a quarter of an entry instance's processor
-// time.
-func (s *Stream) event(data []byte) (Event, error) {
+// parseEvent extracts only the fields needed. It runs for each token, and decoding
+// the event into structs costs far more CPU time.
+func (s *Stream) parseEvent(data []byte) (Event, error) {
 	if !gjson.ValidBytes(data) {
-		return Event{}, oops.In("engine").Errorf("an event that is no JSON")
+		return Event{}, oops.In("engine").Errorf("event is not valid JSON")
 	}
 	fields := gjson.GetManyBytes(data, "id", "ridgehinge_token", "choices.0.delta.content", "choices.0.finish_reason", "choices.#")
 	id, token, content, finish, choices := fields[0], fields[1], fields[2], fields[3], fields[4]
 	if id.String() != s.attempt {
-		return Event{}, oops.In("engine").Wrap(fmt.Errorf("%w: got %s, want %s", ErrForeign, id.String(), s.attempt))
+		return Event{}, oops.In("engine").Wrap(fmt.Errorf("%w: got %s, want %s", ErrUnexpectedEvent, id.String(), s.attempt))
 	}
 	if choices.Int() == 0 {
-		return Event{}, oops.In("engine").Errorf("an event without a choice")
+		return Event{}, oops.In("engine").Errorf("event has no choice")
 	}
 	event := Event{Finish: finish.String()}
 	if content.Type != gjson.String {
 		return event, nil
 	}
 	if int(token.Int()) != s.Next || token.Type != gjson.Number {
-		return Event{}, oops.In("engine").Wrap(fmt.Errorf("%w: token %s, want %d", ErrForeign, token.Raw, s.Next))
+		return Event{}, oops.In("engine").Wrap(fmt.Errorf("%w: token %s, want %d", ErrUnexpectedEvent, token.Raw, s.Next))
 	}
 	event.Content = json.RawMessage(content.Raw)
 	s.Next++
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -6,7 +6,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Paths of an endpoint's interface.
+// Paths of the endpoints' HTTP interface.
 const (
 	PathStatus = "/ridgehinge/status"
 	PathOrders = "/ridgehinge/orders"
@@ -14,32 +14,32 @@
 	PathCancel = "/v1/cancel"
 )
 
-// Headers between the system and an endpoint.
+// Headers of requests to endpoints and of their responses.
 const (
-	// HeaderAttempt names one try to run a request; answers carry it back.
+	// HeaderAttempt identifies one attempt of a request; responses repeat it.
 	HeaderAttempt = "Ridgehinge-Attempt"
-	// HeaderGroup, HeaderEpoch and HeaderGeneration are the fence of a
-	// request: an endpoint that checks fences refuses another group's.
+	// HeaderGroup, HeaderEpoch and HeaderGeneration are the fencing token of a
+	// request: an endpoint that checks it rejects requests for another group.
 	HeaderGroup      = "Ridgehinge-Group"
 	HeaderEpoch      = "Ridgehinge-Epoch"
 	HeaderGeneration = "Ridgehinge-Generation"
-	// HeaderResumeFrom is the number of tokens that the caller has already.
+	// HeaderResumeFrom is the number of tokens that the caller has received.
 	HeaderResumeFrom = "Ridgehinge-Resume-From"
 	// HeaderPriority is 0 for high, 1 for normal and 2 for low.
 	HeaderPriority = "Ridgehinge-Priority"
-	// HeaderNotStarted is set by an endpoint on a refusal that proves that
-	// the request did not start.
+	// HeaderNotStarted is set by an endpoint on a rejection if the request did
+	// not start.
 	HeaderNotStarted = "Ridgehinge-Not-Started"
 )
 
-// OrderKind is what an order asks of an endpoint.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The kinds of order.
 const (
 	// OrderLoad makes the endpoint a member of a group.
 	OrderLoad OrderKind = "load"
-	// OrderRelease makes it leave its group; the weights may stay in memory.
+	// OrderRelease removes it from its group; the weights may stay in memory.
 	OrderRelease OrderKind = "release"
 	// OrderPreload loads weights without a group.
 	OrderPreload OrderKind = "preload"
@@ -54,12 +54,12 @@
 	Role    fleet.Role     `json:"role,omitempty"`
 	Rank    int            `json:"rank"`
 	Members []fleet.Member `json:"members,omitempty"`
-	// Incarnation is the one that the order is meant for; another refuses.
+	// Incarnation is the incarnation that the order is for; others reject it.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Chunk is one event of a streamed answer, in the form that model callers
-// know, reduced to the fields that the system reads.
+// Chunk is one event of a streamed chat completion, with only the fields that
+// are used here.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object,omitempty"`
@@ -77,8 +77,8 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta carries the new text, still encoded, so that a relay need not decode
-// and encode it again.
+// Delta has the added text as encoded JSON, so that forwarding it needs no
+// decoding and encoding.
 type Delta struct {
 	Content json.RawMessage `json:"content,omitempty"`
 }
