--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,4 +1,5 @@
-// Package httpserver makes nbhttp engines with the project's bounds.
+// Package httpserver runs nbhttp servers with limits, detection of disconnected
+// clients and graceful close of idle connections.
 package httpserver
 
 import (
@@ -16,13 +17,13 @@
 )
 
 const (
-	// maxWriteBuffer bounds what waits for a slow reader, in bytes; beyond it
-	// the connection is closed.
+	// maxWriteBuffer bounds the bytes buffered for a slow client; beyond it the
+	// connection is closed.
 	maxWriteBuffer = 1 << 20
-	keepAlive      = 2 * time.Minute
-	// maxHeader bounds a header that is still incomplete, in bytes. It is
-	// larger than one read of a connection, which may bring a body as well.
-	maxHeader = 256 << 10
+	idleTimeout    = 2 * time.Minute
+	// maxHeaderBytes bounds an incomplete header. It is larger than one read of a
+	// connection, which may include part of the body.
+	maxHeaderBytes = 256 << 10
 )
 
 // Options of an engine.
@@ -30,56 +31,55 @@
 	Address string
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int
-	// MaxRequests bounds the handlers that run at once.
+	// MaxRequests bounds the handlers that run concurrently.
 	MaxRequests int
 	Handler     http.Handler
-	// Link bounds the connections.
-	Link link.Bounds
+	Link        link.Bounds
 }
 
-// newEngine returns an engine that has not started.
+// newEngine returns an engine that is not started.
 func newEngine(o Options, s *Server) *nbhttp.Engine {
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Network:                "tcp",
 		Addrs:                  []string{o.Address},
 		Handler:                o.Handler,
 		MaxHTTPBodySize:        o.MaxBody + 1,
-		ReadLimit:              maxHeader,
+		ReadLimit:              maxHeaderBytes,
 		MaxWriteBufferSize:     maxWriteBuffer,
 		MessageHandlerPoolSize: o.MaxRequests,
-		KeepaliveTime:          keepAlive,
+		KeepaliveTime:          idleTimeout,
 		Listen:                 o.Link.Listen,
 	})
-	answerTooLarge(engine, s)
+	installHandlers(engine, s)
 	return engine
 }
 
-// tooLargeBody is the answer to a request that passes a bound before a handler
-// sees it. Nothing of it has run.
-const tooLargeBody = `{"error":{"message":"the request is larger than this entry instance takes","type":"too_large","outcome":"not-run"}}` + "\n"
+// tooLargeResponse is the body of the response to a request that exceeds a limit. No
+// handler was called for it.
+const tooLargeResponse = `{"error":{"message":"the request is larger than this entry instance takes","type":"too_large","outcome":"not-run"}}` + "\n"
 
-// lingerTime is how long the rest of such a request is read and dropped, so
-// that the answer is not lost to a reset of the connection.
-const lingerTime = 2 * time.Second
+// discardTime is how long the rest of such a request is read and discarded: closing
+// at once would reset the connection before the client reads the response.
+const discardTime = 2 * time.Second
 
-// answerTooLarge takes the place of nbhttp's own data handler, which closes
-// the connection of a request that is too large without an answer.
+// installHandlers replaces nbhttp's data handler, which closes the connection of
+// a request that is too large without a response.
 //
-// nbio makes a connection on its accepting goroutine and reads it on a
-// poller's, with nothing but the kernel's epoll between them, which Go's
-// memory model does not know. The counter orders the two: without it the race
-// detector reports the fields that nbhttp sets while it accepts.
-func answerTooLarge(e *nbhttp.Engine, s *Server) {
+// nbio creates a connection on its accepting goroutine and reads it on a poller's,
+// synchronised only by the kernel's epoll, which Go's memory model does not cover.
+// The atomic counter orders the two: without it the race detector reports the
+// fields that nbhttp sets while it accepts.
+func installHandlers(e *nbhttp.Engine, s *Server) {
 	var opened atomic.Int64
 	e.OnOpen(func(c net.Conn) {
 		if raw, ok := c.(*nbio.Conn); ok {
-			s.opened(raw)
+			s.addConn(raw)
 		}
 		opened.Add(1)
 	})
 	e.OnClose(func(c net.Conn, _ error) {
 		if raw, ok := c.(*nbio.Conn); ok {
-			s.closed(raw)
+			s.removeConn(raw)
 		}
 	})
 	e.OnData(func(c *nbio.Conn, data []byte) {
@@ -94,16 +94,16 @@
 		case errors.Is(err, nbhttp.ErrTooLong):
 			c.SetSession(discarder{parser})
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 413 Request Entity Too Large\r\nContent-Type: application/json\r\n"+
-				"Content-Length: %d\r\nConnection: close\r\nRidgehinge-Outcome: not-run\r\n\r\n%s", len(tooLargeBody), tooLargeBody)
-			time.AfterFunc(lingerTime, func() { _ = c.CloseWithError(err) })
+				"Content-Length: %d\r\nConnection: close\r\nRidgehinge-Outcome: not-run\r\n\r\n%s", len(tooLargeResponse), tooLargeResponse)
+			time.AfterFunc(discardTime, func() { _ = c.CloseWithError(err) })
 		default:
 			_ = c.CloseWithError(err)
 		}
 	})
 }
 
-// discarder drops what still comes of a request that was answered.
+// discarder discards the rest of a request that was responded to.
 type discarder struct{ nbhttp.ParserCloser }
 
-// Parse drops the data.
+// Parse discards the data.
 func (discarder) Parse([]byte) error { return nil }
--- a/internal/httpserver/responder.go
+++ b/internal/httpserver/responder.go
@@ -12,26 +12,26 @@
 )
 
 // ErrClientGone means that the client disconnected.
-var ErrClientGone = errors.New("the caller has gone")
+var ErrClientGone = errors.New("client disconnected")
 
-// sweepInterval is how often open requests are looked at for callers that
-// have gone: nbhttp does not tell while a handler runs.
+// sweepInterval is how often open requests are checked for disconnected clients:
+// nbhttp does not report a disconnect while a handler runs.
 const sweepInterval = 100 * time.Millisecond
 
-// closer is what nbio's connection offers beside net.Conn.
-type closer interface{ IsClosed() (bool, error) }
+// closeChecker is implemented by nbio's connections.
+type closeChecker interface{ IsClosed() (bool, error) }
 
-// Responder answers a caller over nbhttp.
+// Responder writes a response over nbhttp.
 type Responder struct {
-	w      http.ResponseWriter
-	cancel context.CancelCauseFunc
-	conn   io.Closer
-	state  closer
-	sized  bool
+	w       http.ResponseWriter
+	cancel  context.CancelCauseFunc
+	conn    io.Closer
+	checker closeChecker
+	sized   bool
 }
 
-// NewResponder returns a responder for one request. The cancel function is
-// called, by a Tracker, when the caller has gone.
+// NewResponder returns a responder for one request. A Tracker calls cancel when
+// the client disconnects.
 func NewResponder(w http.ResponseWriter, cancel context.CancelCauseFunc) *Responder {
 	out := &Responder{w: w, cancel: cancel}
 	response, ok := w.(*nbhttp.Response)
@@ -43,20 +43,20 @@
 	if wrapped, ok := conn.(*nbhttp.Conn); ok {
 		conn = wrapped.Conn
 	}
-	out.state, _ = conn.(closer)
+	out.checker, _ = conn.(closeChecker)
 	return out
 }
 
-// Closed reports whether the caller's connection has closed.
+// Closed reports whether the client's connection is closed.
 func (r *Responder) Closed() bool {
-	if r.state == nil {
+	if r.checker == nil {
 		return false
 	}
-	closed, _ := r.state.IsClosed()
+	closed, _ := r.checker.IsClosed()
 	return closed
 }
 
-// Begin gives the status and the header.
+// Begin writes the status and the header.
 func (r *Responder) Begin(status int, header http.Header) {
 	for name, values := range header {
 		r.w.Header()[name] = values
@@ -65,7 +65,8 @@
 	r.w.WriteHeader(status)
 }
 
-// Write sends a part of the body; parts without a known length leave at once.
+// Write writes a part of the body, and flushes it if the response has no
+// Content-Length.
 func (r *Responder) Write(p []byte) error {
 	if r.Closed() {
 		return ErrClientGone
@@ -79,14 +80,13 @@
 	return nil
 }
 
-// End says that the answer is whole.
+// End completes the response; nbhttp does so when the handler returns.
 func (r *Responder) End() {}
 
 // Abort closes the connection, so that the client sees that the response is incomplete.
 func (r *Responder) Abort() {
 	if flusher, ok := r.w.(http.Flusher); ok && !r.Closed() {
-		// What there is goes out first: a caller that has a status knows more
-		// than one whose connection just ends.
+		// Send a status that is still buffered, so that the client receives it.
 		flusher.Flush()
 	}
 	if r.conn != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Tracker cancels the requests whose callers have gone.
+// Tracker cancels the requests of disconnected clients.
 type Tracker struct {
 	mu   sync.Mutex
 	open map[*Responder]struct{}
@@ -102,15 +102,16 @@
 	done chan struct{}
 }
 
-// NewTracker starts a tracker; Close ends it.
+// NewTracker starts a tracker; Close stops it.
 func NewTracker() *Tracker {
 	t := &Tracker{open: map[*Responder]struct{}{}, stop: make(chan struct{}), done: make(chan struct{})}
 	go t.sweep()
 	return t
 }
 
-// Begin begins to watch a request. The context ends, with ErrClientGone as its
-// cause, when the caller has gone; done is called when the request is answered.
+// Begin starts to track a request. The context is cancelled with the cause
+// ErrClientGone when the client disconnects. The caller calls done when the
+// request is finished.
 func (t *Tracker) Begin(w http.ResponseWriter) (ctx context.Context, r *Responder, done func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r = NewResponder(w, cancel)
@@ -125,7 +126,7 @@
 	}
 }
 
-// Close ends the tracker.
+// Close stops the tracker.
 func (t *Tracker) Close() {
 	close(t.stop)
 	<-t.done
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -11,7 +11,7 @@
 )
 
 // Server is a running engine that can close its idle connections without
-// cutting off a request.
+// interrupting a request.
 type Server struct {
 	engine  *nbhttp.Engine
 	started time.Time
@@ -19,13 +19,13 @@
 	conns   map[*nbio.Conn]*connState
 }
 
-// connState tells whether a connection has a request under way.
+// connState tracks whether a connection has a request in flight.
 type connState struct {
-	// requests counts those that were read and are not answered yet.
+	// requests counts those that were read and are not finished.
 	requests atomic.Int64
 	// mu is held while data is parsed.
 	mu sync.Mutex
-	// partial is set while a part of a request was read.
+	// partial is set while a request is incompletely read.
 	partial bool
 	closing bool
 }
@@ -35,11 +35,11 @@
 	s := &Server{conns: map[*nbio.Conn]*connState{}}
 	handler := o.Handler
 	o.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer s.answered(connOf(w))
+		defer s.requestDone(connOf(w))
 		handler.ServeHTTP(w, r)
 	})
 	s.engine = newEngine(o, s)
-	s.engine.OnRequest = func(w http.ResponseWriter, _ *http.Request) { s.read(connOf(w)) }
+	s.engine.OnRequest = func(w http.ResponseWriter, _ *http.Request) { s.requestRead(connOf(w)) }
 	if err := s.engine.Start(); err != nil {
 		return nil, err
 	}
@@ -47,15 +47,14 @@
 	return s, nil
 }
 
-// loopStart is how long the engine's event loops are given to run for the first time: they
-// are runnable when it has started, and wait for a processor alone. A loop that is told to
-// stop before clears the mark of that when it runs, and never ends; nbio tells nobody when
-// one runs. A test that stopped its server at once hung for its ten minutes.
-const loopStart = 100 * time.Millisecond
+// loopStartDelay is the least time between the start and the stop of an engine. An nbio
+// event loop that is stopped before it first runs clears its stop flag when it does, and
+// never ends; nbio does not report when a loop runs.
+const loopStartDelay = 100 * time.Millisecond
 
 // Stop closes the listener and all connections.
 func (s *Server) Stop() {
-	time.Sleep(time.Until(s.started.Add(loopStart)))
+	time.Sleep(time.Until(s.started.Add(loopStartDelay)))
 	s.engine.Stop()
 }
 
@@ -79,19 +78,19 @@
 	return s.conns[c]
 }
 
-func (s *Server) opened(c *nbio.Conn) {
+func (s *Server) addConn(c *nbio.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = &connState{}
 }
 
-func (s *Server) closed(c *nbio.Conn) {
+func (s *Server) removeConn(c *nbio.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// parse hands data to a connection's parser, unless it is being closed.
+// parse passes data to a connection's parser, unless the connection is closing.
 func (s *Server) parse(c *nbio.Conn, data []byte, parser nbhttp.ParserCloser) error {
 	state := s.state(c)
 	if state == nil {
@@ -106,23 +105,24 @@
 	return parser.Parse(data)
 }
 
-// read counts a request that was read whole; it is called while its data is
-// parsed, under the state's lock.
-func (s *Server) read(c *nbio.Conn) {
+// requestRead counts a request that was read completely. It is called while data is
+// parsed, with the state's lock held.
+func (s *Server) requestRead(c *nbio.Conn) {
 	if state := s.state(c); state != nil {
 		state.requests.Add(1)
 		state.partial = false
 	}
 }
 
-func (s *Server) answered(c *nbio.Conn) {
+func (s *Server) requestDone(c *nbio.Conn) {
 	if state := s.state(c); state != nil {
 		state.requests.Add(-1)
 	}
 }
 
-// CloseIdle closes the connections without a request under way, and returns
-// how many have one. A request that crosses the close has not been read.
+// CloseIdle closes the connections without a request in flight, and returns the
+// number of those with one. No byte of a request that arrives during the close is
+// parsed.
 func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	conns := make(map[*nbio.Conn]*connState, len(s.conns))
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 func freeAddress(t *testing.T) string {
 	t.Helper()
@@ -52,14 +52,13 @@
 	return string(body)
 }
 
-// A process that ends while a request is read on an idle connection loses it, as
-// callers saw while nodes were stopped in turn.
-func TestIdleConnectionsCloseAndBusyOnesFinish(t *testing.T) {
+// A process that stops must not close a connection on which it has read a request.
+func TestCloseIdle_LetsBusyConnectionsFinish(t *testing.T) {
 	release := make(chan struct{})
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	s, address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			close(begun)
+			close(started)
 			<-release
 		}
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -69,20 +68,20 @@
 	busy, busyReader := connect(t, address)
 	answer := make(chan string, 1)
 	go func() { answer <- get(t, busy, busyReader, "/slow") }()
-	<-begun
+	<-started
 
 	require.Equal(t, 1, s.CloseIdle())
-	_ = idle.SetReadDeadline(time.Now().Add(patience))
+	_ = idle.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := idleReader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 
 	close(release)
 	require.Equal(t, "/slow", <-answer)
-	require.Eventually(t, func() bool { return s.CloseIdle() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.CloseIdle() == 0 }, waitTimeout, time.Millisecond)
 }
 
-// A request whose first part was read is waited for.
-func TestAPartOfARequestKeepsItsConnection(t *testing.T) {
+// A connection with a partially read request must not be closed as idle.
+func TestCloseIdle_KeepsPartiallyReadRequests(t *testing.T) {
 	s, address := startServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) })
 	c, reader := connect(t, address)
 	require.Equal(t, "/first", get(t, c, reader, "/first"))
@@ -100,7 +99,7 @@
 			}
 		}
 		return false
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	require.Equal(t, 1, s.CloseIdle())
 	_, err = io.WriteString(c, "Host: h\r\n\r\n")
 	require.NoError(t, err)
@@ -111,13 +110,9 @@
 	require.Equal(t, "/second", string(body))
 }
 
-// A test hung for ten minutes beside other processes: its server was stopped before one of the
-// library's event loops had run for the first time. The loop then cleared the mark of its stop
-// and waited for events for ever, and the stop waited for the loop. Evidence: the goroutines'
-// stacks, one loop in its wait and the stop in its own. A process that is told to stop as it
-// starts would be killed at its bound. Here the loops cannot run before the stop: there is one
-// processor, and nothing gives it up.
-func TestAServerThatIsStoppedAsItStartsEnds(t *testing.T) {
+// Stop must not hang if it is called before the event loops first run. With one
+// processor the loops cannot run before it.
+func TestStop_RightAfterStartReturns(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
 		address := freeAddress(t)
@@ -131,8 +126,8 @@
 		}()
 		select {
 		case <-done:
-		case <-time.After(patience):
-			require.Fail(t, "the server has not stopped")
+		case <-time.After(waitTimeout):
+			require.Fail(t, "the server did not stop")
 		}
 	}
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,9 +1,9 @@
-// Package link has the bounds of connections between processes: how long one may say
-// nothing before it counts as broken.
+// Package link configures TCP connections between processes so that silent failures
+// are detected.
 //
-// A link that is cut says nothing, and an open connection may fall silent for good while
-// new ones work. What was sent and is not acknowledged, and an idle connection that does
-// not answer the kernel's probes, both end after Silence.
+// A network partition sends no reset, and an open connection may stay dead while new
+// ones work. A connection is closed by the kernel if sent data is not acknowledged, or
+// keep-alive probes are not answered, for Silence.
 package link
 
 import (
@@ -16,25 +16,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// DefaultSilence is shorter than the two seconds and more after which callers give up a
-// stream that says nothing, and far longer than any link delays a packet.
+// DefaultSilence is not longer than callers wait for the next event of a stream, and far
+// longer than packets are delayed.
 const DefaultSilence = 2 * time.Second
 
-// DefaultDial bounds the opening of a connection.
+// DefaultDial is the default dial timeout.
 const DefaultDial = 700 * time.Millisecond
 
-// Bounds of connections. The zero value has no bound of its own; New has the defaults.
+// Bounds are the timeouts of connections. The zero value has none; New returns the
+// defaults.
 type Bounds struct {
-	// Source is the address that connections leave from, or nil.
+	// Source is the local address of outgoing connections, or nil for any.
 	Source net.Addr
-	// Dial bounds the opening of a connection.
+	// Dial is the dial timeout.
 	Dial time.Duration
-	// Silence is how long a connection may say nothing on the kernel's level.
+	// Silence is how long the peer's kernel may acknowledge nothing.
 	Silence time.Duration
 }
 
-// New returns the default bounds of connections that leave from an address, or from any
-// if that is nil.
+// New returns the default bounds with a local address for outgoing connections, or nil
+// for any.
 func New(source net.Addr) Bounds {
 	return Bounds{Source: source, Dial: DefaultDial, Silence: DefaultSilence}
 }
@@ -44,20 +45,20 @@
 	return &net.Dialer{
 		Timeout:         b.Dial,
 		LocalAddr:       b.Source,
-		KeepAliveConfig: b.keepAlive(),
-		Control:         b.control,
+		KeepAliveConfig: b.keepAliveConfig(),
+		Control:         b.setUserTimeout,
 	}
 }
 
-// Listen listens with the bounds for the connections that are accepted.
+// Listen returns a listener whose accepted connections have the bounds.
 func (b Bounds) Listen(network, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: b.keepAlive(), Control: b.control}
+	config := net.ListenConfig{KeepAliveConfig: b.keepAliveConfig(), Control: b.setUserTimeout}
 	return config.Listen(context.Background(), network, address)
 }
 
-// keepAlive has an idle connection probed at half of the bound, so that it ends at the
-// bound. The kernel counts in whole seconds.
-func (b Bounds) keepAlive() net.KeepAliveConfig {
+// keepAliveConfig starts probes of an idle connection after half of Silence, so that a dead
+// one is closed after Silence. The kernel's unit is whole seconds.
+func (b Bounds) keepAliveConfig() net.KeepAliveConfig {
 	if b.Silence <= 0 {
 		return net.KeepAliveConfig{}
 	}
@@ -70,9 +71,9 @@
 	}
 }
 
-// control bounds how long what was sent may stay unacknowledged: a write into a cut link
-// hangs for minutes without it. Sockets that are accepted inherit it.
-func (b Bounds) control(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout bounds how long sent data may stay unacknowledged: without it a write to an
+// unreachable peer blocks for minutes. Accepted sockets inherit it.
+func (b Bounds) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	if b.Silence <= 0 {
 		return nil
 	}
@@ -86,15 +87,14 @@
 	return failed
 }
 
-// Doubtful returns a transport that, after a call that failed, uses no connection that is
-// older than the failure: if one has fallen silent, the others of its time most likely
-// have too.
-func Doubtful(t *http.Transport) http.RoundTripper { return doubtful{t} }
+// Doubtful returns a transport that closes its idle connections after a failed call: if one
+// connection is dead, the other open ones most likely are too.
+func Doubtful(t *http.Transport) http.RoundTripper { return resetOnError{t} }
 
-type doubtful struct{ *http.Transport }
+type resetOnError struct{ *http.Transport }
 
 // RoundTrip implements http.RoundTripper.
-func (d doubtful) RoundTrip(request *http.Request) (*http.Response, error) {
+func (d resetOnError) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := d.Transport.RoundTrip(request)
 	if err != nil {
 		d.CloseIdleConnections()
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -13,8 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// option reads a socket option of TCP.
-func option(t *testing.T, conn net.Conn, level, name int) int {
+func tcpOption(t *testing.T, conn net.Conn, level, name int) int {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
@@ -24,11 +23,9 @@
 	return value
 }
 
-// A connection that falls silent without a reset ends within the bound, whether bytes
-// are under way on it or not, and on both ends. With keep-alive probes off a long poll
-// of the store on such a connection waited seven seconds, and missed what was written
-// meanwhile.
-func TestSilentConnectionsEnd(t *testing.T) {
+// Both ends must detect a connection that dies without a reset, whether data is in flight
+// or it is idle.
+func TestBounds_DetectSilentConnections(t *testing.T) {
 	b := New(nil)
 	listener, err := b.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -41,23 +38,23 @@
 	defer accepted.Close()
 	for name, conn := range map[string]net.Conn{"dialed": dialed, "accepted": accepted} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, 1, option(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE))
-			idle := option(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)
-			interval := option(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL)
-			count := option(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPCNT)
+			require.Equal(t, 1, tcpOption(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE))
+			idle := tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)
+			interval := tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL)
+			count := tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPCNT)
 			require.LessOrEqual(t, time.Duration(idle+interval*count)*time.Second, DefaultSilence)
-			require.Equal(t, int(DefaultSilence.Milliseconds()), option(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT))
+			require.Equal(t, int(DefaultSilence.Milliseconds()), tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT))
 		})
 	}
 }
 
-func TestWithoutABoundNothingIsProbed(t *testing.T) {
-	require.False(t, Bounds{}.keepAlive().Enable)
+func TestKeepAlive_DisabledWithoutSilenceBound(t *testing.T) {
+	require.False(t, Bounds{}.keepAliveConfig().Enable)
 }
 
-// After a call that had no answer the next one takes a new connection, not another old
-// one that may be as silent.
-func TestNoOldConnectionIsUsedAfterAFailure(t *testing.T) {
+// After a call without a response the next one must use a new connection, not another idle
+// one that may be dead too.
+func TestDoubtful_DropsIdleConnectionsOnError(t *testing.T) {
 	var silent atomic.Bool
 	var opened atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +65,7 @@
 				<-r.Context().Done()
 				return
 			}
-			// Both connections are open before either is idle.
+			// Keeps both connections in use until both are open.
 			time.Sleep(20 * time.Millisecond)
 			_, _ = io.WriteString(w, "ok")
 		}),
@@ -105,5 +102,5 @@
 	silent.Store(true)
 	require.Error(t, call("yes"))
 	require.NoError(t, call(""))
-	require.Equal(t, before+1, opened.Load(), "the other old connection is not used")
+	require.Equal(t, before+1, opened.Load(), "the other idle connection was used")
 }
