--- a/internal/confstore/confstore.go
+++ b/internal/confstore/confstore.go
@@ -1,9 +1,9 @@
-// Package confstore keeps the configuration in the platform's table.
+// Package confstore stores the configuration in the platform's table.
 //
-// One head row numbers all changes. Each accepted change writes, in one
-// transaction, the head, the template's row, a change row under the new
-// revision, a history row and a row for the operator's request id. Two
-// operators who race meet at the head row: one of them is told of the other.
+// The head row has the latest revision. Each accepted change writes, in one
+// transaction, the head, the template's row, a change row under the new revision, a
+// history row and a row for the operator's request id. The condition on the head row
+// serialises concurrent changes.
 package confstore
 
 import (
@@ -27,10 +27,10 @@
 	changePrefix   = "config/c/"
 	historyPrefix  = "config/h/"
 	requestPrefix  = "config/r/"
-	// maxChangeReads is how many change rows are read by key before a scan of
-	// all templates is cheaper.
+	// maxChangeReads is the number of change rows beyond which a scan of all
+	// templates is cheaper.
 	maxChangeReads = 64
-	submitTries    = 5
+	submitAttempts = 5
 )
 
 // Head is the value of the head row.
@@ -41,7 +41,7 @@
 // Change is the value of change and history rows.
 type Change struct {
 	Entry configuration.Entry `json:"entry"`
-	// Base is the revision that the operator's text was based on.
+	// Base is the revision on which the operator based the change.
 	Base configuration.Revision `json:"base"`
 	At   time.Time              `json:"at"`
 }
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%s%s/%016d", historyPrefix, name, r)
 }
 
-// DecodeHead reads a head row; an absent row is revision 0.
+// DecodeHead decodes a head row; a missing row is revision 0.
 func DecodeHead(row platform.Row) (Head, error) {
 	var head Head
 	if row.Version == 0 {
@@ -67,10 +67,10 @@
 	return head, oops.In("confstore").Wrap(err)
 }
 
-// Delta reads what changed after since up to the head's revision.
+// Delta reads the changes after revision since, up to revision to.
 func Delta(ctx context.Context, table *platform.Client, since, to configuration.Revision) (configuration.Delta, error) {
 	if to-since > maxChangeReads {
-		return all(ctx, table, to)
+		return readAll(ctx, table, to)
 	}
 	var keys []string
 	for r := since + 1; r <= to; r++ {
@@ -83,7 +83,7 @@
 	delta := configuration.Delta{Since: since, To: to}
 	for _, row := range rows {
 		if row.Version == 0 {
-			return all(ctx, table, to)
+			return readAll(ctx, table, to)
 		}
 		var change Change
 		if err := json.Unmarshal(row.Value, &change); err != nil {
@@ -94,8 +94,8 @@
 	return delta, nil
 }
 
-// all reads every template, for a node that is far behind.
-func all(ctx context.Context, table *platform.Client, to configuration.Revision) (configuration.Delta, error) {
+// readAll reads all templates, for a node that is too far behind for a delta.
+func readAll(ctx context.Context, table *platform.Client, to configuration.Revision) (configuration.Delta, error) {
 	delta := configuration.Delta{To: to}
 	rows, err := table.Scan(ctx, templatePrefix)
 	if err != nil {
@@ -113,54 +113,54 @@
 
 // Submission is an operator's change of one template.
 type Submission struct {
-	// RequestID makes a repeated submission one; it must not be empty.
+	// RequestID is the idempotency key of the submission; it must not be empty.
 	RequestID string
-	// Base is the revision of the template that the text was based on; 0 says
-	// that the template must not exist yet.
+	// Base is the revision of the template on which the change is based; 0 requires
+	// that the template does not exist yet.
 	Base     configuration.Revision
 	Template *configuration.Template
 }
 
-// Conflict is the error of a submission whose base is out of date.
+// Conflict is the error of a submission with a stale base.
 type Conflict struct {
 	Name    string                 `json:"name"`
 	Base    configuration.Revision `json:"base"`
 	Current configuration.Revision `json:"current"`
-	// Theirs is what changed between the base and the current revision,
-	// Yours what the submission changes against its base.
+	// Theirs are the changes between the base and the current revision, Yours
+	// those of the submission against the base.
 	Theirs []configuration.Difference `json:"theirs"`
 	Yours  []configuration.Difference `json:"yours"`
 }
 
-// Error names the template and the remedy.
+// Error returns a message with the template and the way to resolve the conflict.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("template %s is at revision %d, not %d; read it again and base the change on it", c.Name, c.Current, c.Base)
 }
 
-// Taken is the error of a submission that uses another template's workspace
-// or key.
-type Taken struct {
+// WorkspaceConflict is the error of a submission with a workspace name or key that
+// another template uses.
+type WorkspaceConflict struct {
 	Workspace string
 	Template  string
 }
 
-// Error names the place and the remedy.
-func (t *Taken) Error() string {
+// Error returns a message with both places and the way to resolve the conflict.
+func (t *WorkspaceConflict) Error() string {
 	return fmt.Sprintf("workspace %s has the name or the key of one in template %s; choose another", t.Workspace, t.Template)
 }
 
-// Accepted is the answer to a submission.
+// Accepted is the result of an accepted submission.
 type Accepted struct {
 	Revision configuration.Revision `json:"revision"`
-	// Repeated tells that an earlier submission with the same request id had
-	// been accepted; nothing was written now.
+	// Repeated is set if an earlier submission with the same request id was
+	// accepted; nothing was written.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-// Submit writes a change if its base is still current. It tries again when
-// only other templates have changed meanwhile.
+// Submit writes a change if its base is current. It retries if only other
+// templates were changed concurrently.
 func Submit(ctx context.Context, table *platform.Client, s Submission, at time.Time) (Accepted, error) {
-	for range submitTries {
+	for range submitAttempts {
 		accepted, retry, err := submitOnce(ctx, table, s, at)
 		if err != nil || !retry {
 			return accepted, err
@@ -176,7 +176,7 @@
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	if accepted, ok, err := repeated(rows[2], name); ok || err != nil {
+	if accepted, ok, err := findEarlierSubmission(rows[2], name); ok || err != nil {
 		return accepted, false, err
 	}
 	head, err := DecodeHead(rows[0])
@@ -215,7 +215,7 @@
 // ErrRequestIDReused means that a request id was used for another template.
 var ErrRequestIDReused = errors.New("the request id belongs to a change of another template; use a new one")
 
-func repeated(row platform.Row, name string) (Accepted, bool, error) {
+func findEarlierSubmission(row platform.Row, name string) (Accepted, bool, error) {
 	if row.Version == 0 {
 		return Accepted{}, false, nil
 	}
@@ -249,10 +249,10 @@
 	return conflict
 }
 
-// checkWorkspaces refuses names and keys that another template has: a key
-// must lead to one workspace.
+// checkWorkspaces rejects workspace names and keys that another template uses: a key
+// must identify one workspace.
 func (s Submission) checkWorkspaces(ctx context.Context, table *platform.Client, head configuration.Revision) error {
-	delta, err := all(ctx, table, head)
+	delta, err := readAll(ctx, table, head)
 	if err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 		for _, other := range entry.Template.Workspaces {
 			for _, w := range s.Template.Workspaces {
 				if w.Name == other.Name || w.KeyHash == other.KeyHash {
-					return &Taken{Workspace: w.Name, Template: entry.Name}
+					return &WorkspaceConflict{Workspace: w.Name, Template: entry.Name}
 				}
 			}
 		}
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// At returns a template as it was at one of its revisions, or nil where it
-// had none.
+// At returns a template at one of its revisions, or nil if that revision is not one
+// of the template's.
 func At(ctx context.Context, table *platform.Client, name string, r configuration.Revision) (*configuration.Template, error) {
 	if r == 0 {
 		return nil, nil
--- a/internal/confstore/confstore_test.go
+++ b/internal/confstore/confstore_test.go
@@ -36,7 +36,7 @@
 	}}
 }
 
-func TestSubmit(t *testing.T) {
+func TestSubmit_Outcomes(t *testing.T) {
 	table, _ := newTable(t)
 	ctx := context.Background()
 	submit := func(requestID string, base configuration.Revision, t *configuration.Template) (Accepted, error) {
@@ -55,8 +55,8 @@
 	require.ErrorAs(t, err, &conflict)
 	assert.Equal(t, configuration.Revision(1), conflict.Current)
 	_, err = submit("3", 0, template("b", "key-a", 4))
-	var taken *Taken
-	require.ErrorAs(t, err, &taken, "one key leads to one workspace")
+	var inUse *WorkspaceConflict
+	require.ErrorAs(t, err, &inUse, "a key identifies one workspace")
 	got, err = submit("4", 1, template("a", "key-a", 8))
 	require.NoError(t, err)
 	assert.Equal(t, Accepted{Revision: 2}, got)
@@ -67,8 +67,8 @@
 		configuration.Diff(history[0].Entry.Template, history[1].Entry.Template))
 }
 
-// casOp is one submission on a base. The model is a register that takes a new
-// value only if the base is the present one.
+// casOp is one submission. The model is a register with compare-and-set: a new
+// value is accepted only if the base equals the current value.
 type casOp struct {
 	base configuration.Revision
 }
@@ -81,17 +81,17 @@
 var casModel = porcupine.Model{
 	Init: func() any { return configuration.Revision(0) },
 	Step: func(state, input, output any) (bool, any) {
-		in, out, now := input.(casOp), output.(casOutput), state.(configuration.Revision)
+		in, out, current := input.(casOp), output.(casOutput), state.(configuration.Revision)
 		if out.ok {
-			return in.base == now && out.revision > now, out.revision
+			return in.base == current && out.revision > current, out.revision
 		}
-		return in.base != now, now
+		return in.base != current, current
 	},
 }
 
-// Operators who race on one template, with answers lost, have a history in
-// which revisions only rise and nothing is accepted on an old base.
-func TestRacesAreLinearizable(t *testing.T) {
+// With concurrent submissions and lost responses, revisions must only rise and no
+// change on a stale base may be accepted.
+func TestSubmit_ConcurrentIsLinearizable(t *testing.T) {
 	table, faults := newTable(t)
 	ctx := context.Background()
 	var mu sync.Mutex
@@ -116,7 +116,7 @@
 				} else if err == nil {
 					known = accepted.Revision
 				} else {
-					// Too many other changes: nothing is known, nothing was done.
+					// Too many concurrent changes: nothing was written.
 					continue
 				}
 				mu.Lock()
@@ -130,8 +130,8 @@
 	assert.True(t, porcupine.CheckOperations(casModel, history))
 }
 
-// A node that is far behind reads all templates, and ends at the head.
-func TestDeltaFarBehind(t *testing.T) {
+// A node that is far behind must read all templates and reach the head revision.
+func TestDelta_ReadsAllTemplatesWhenFarBehind(t *testing.T) {
 	table, _ := newTable(t)
 	ctx := context.Background()
 	base := configuration.Revision(0)
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -32,13 +32,13 @@
 	return &Client{server: server, key: key, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Error is a call that the API refused.
+// Error is an error response of the API.
 type Error struct {
 	Status int
 	ErrorBody
 }
 
-// Error gives the message with each mistake or difference on its own line.
+// Error returns the message with each mistake or difference on its own line.
 func (e *Error) Error() string {
 	lines := []string{e.Message}
 	for _, m := range e.Mistakes {
@@ -57,7 +57,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func (c *Client) call(method, path string, query url.Values, body []byte, into any) error {
+func (c *Client) call(method, path string, query url.Values, body []byte, out any) error {
 	target := url.URL{Scheme: "http", Host: c.server, Path: path, RawQuery: query.Encode()}
 	request, err := http.NewRequest(method, target.String(), bytes.NewReader(body))
 	if err != nil {
@@ -74,17 +74,17 @@
 		return oops.In("operator").Wrapf(err, "call %s", c.server)
 	}
 	if response.StatusCode != http.StatusOK {
-		refused := &Error{Status: response.StatusCode}
-		if json.Unmarshal(text, &refused.ErrorBody) != nil {
-			refused.Message = fmt.Sprintf("%s answered %d", c.server, response.StatusCode)
+		failed := &Error{Status: response.StatusCode}
+		if json.Unmarshal(text, &failed.ErrorBody) != nil {
+			failed.Message = fmt.Sprintf("%s responded with status %d", c.server, response.StatusCode)
 		}
-		return refused
+		return failed
 	}
-	return oops.In("operator").Wrap(json.Unmarshal(text, into))
+	return oops.In("operator").Wrap(json.Unmarshal(text, out))
 }
 
-// Submit sends a template that is based on a revision; 0 is a new one. An
-// empty request id lets the server choose one.
+// Submit submits a template that is based on a revision, 0 for a new template. If
+// the request id is empty, the server generates one.
 func (c *Client) Submit(file string, text []byte, base configuration.Revision, requestID string) (confstore.Accepted, error) {
 	query := url.Values{}
 	query.Set(QueryBase, strconv.FormatUint(uint64(base), 10))
@@ -128,7 +128,7 @@
 	return body, err
 }
 
-// Status returns the state of the server's data centre.
+// Status returns the status of the server's data centre.
 func (c *Client) Status() (control.Status, error) {
 	var status control.Status
 	err := c.call(http.MethodGet, PathStatus, nil, nil, &status)
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi is the HTTP interface of operators: templates and
-// status. Every call needs the operator's key.
+// Package operatorapi is the operators' HTTP API for templates and status. Every
+// call is authenticated by the operator's key.
 package operatorapi
 
 import (
@@ -26,8 +26,8 @@
 )
 
 const (
-	maxTemplate = 1 << 20
-	callTimeout = 5 * time.Second
+	maxTemplateBytes = 1 << 20
+	callTimeout      = 5 * time.Second
 )
 
 // Options of an API.
@@ -38,7 +38,7 @@
 	Loop  *control.Loop
 }
 
-// API serves operators.
+// API serves the operators' calls.
 type API struct {
 	options Options
 	log     logging.Logger
@@ -60,7 +60,7 @@
 	mux.HandleFunc("GET "+PathStatus, a.status)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !a.authorised(r) {
-			refuse(w, http.StatusUnauthorized, ErrorBody{Message: "the operator's key is missing or wrong; send it as Authorization: Bearer KEY"})
+			writeError(w, http.StatusUnauthorized, ErrorBody{Message: "the operator's key is missing or wrong; send it as Authorization: Bearer KEY"})
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -72,10 +72,10 @@
 	return ok && hmac.Equal([]byte(configuration.HashKey(key)), []byte(configuration.HashKey(a.options.Key)))
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		status, text = http.StatusInternalServerError, []byte(`{"message":"the answer cannot be encoded"}`)
+		status, text = http.StatusInternalServerError, []byte(`{"message":"the response could not be encoded"}`)
 	}
 	text = append(text, '\n')
 	w.Header().Set("Content-Type", "application/json")
@@ -84,39 +84,39 @@
 	_, _ = w.Write(text)
 }
 
-func refuse(w http.ResponseWriter, status int, body ErrorBody) { answer(w, status, body) }
+func writeError(w http.ResponseWriter, status int, body ErrorBody) { writeJSON(w, status, body) }
 
-// fail turns an error into its answer.
-func (a *API) fail(w http.ResponseWriter, err error) {
+// handleError writes the response for an error.
+func (a *API) handleError(w http.ResponseWriter, err error) {
 	var mistakes inicheck.Mistakes
 	var conflict *confstore.Conflict
-	var taken *confstore.Taken
+	var workspaceConflict *confstore.WorkspaceConflict
 	switch {
 	case errors.As(err, &mistakes):
-		refuse(w, http.StatusBadRequest, ErrorBody{Message: "the template has mistakes", Mistakes: mistakes})
+		writeError(w, http.StatusBadRequest, ErrorBody{Message: "the template has mistakes", Mistakes: mistakes})
 	case errors.As(err, &conflict):
-		refuse(w, http.StatusConflict, ErrorBody{Message: conflict.Error(), Conflict: conflict})
-	case errors.As(err, &taken), errors.Is(err, confstore.ErrRequestIDReused):
-		refuse(w, http.StatusConflict, ErrorBody{Message: err.Error()})
+		writeError(w, http.StatusConflict, ErrorBody{Message: conflict.Error(), Conflict: conflict})
+	case errors.As(err, &workspaceConflict), errors.Is(err, confstore.ErrRequestIDReused):
+		writeError(w, http.StatusConflict, ErrorBody{Message: err.Error()})
 	case errors.Is(err, platform.ErrUnavailable):
 		w.Header().Set("Retry-After", "2")
-		refuse(w, http.StatusServiceUnavailable, ErrorBody{Message: "the platform's table does not answer; a submission may have been accepted: repeat it with the same request id"})
+		writeError(w, http.StatusServiceUnavailable, ErrorBody{Message: "the platform's table is unavailable; a submission may have been accepted: retry it with the same request id"})
 	default:
 		a.log.Error("a call failed", "error", err)
-		refuse(w, http.StatusInternalServerError, ErrorBody{Message: err.Error()})
+		writeError(w, http.StatusInternalServerError, ErrorBody{Message: err.Error()})
 	}
 }
 
 func (a *API) submit(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, maxTemplate+1))
-	if err != nil || len(text) > maxTemplate {
-		refuse(w, http.StatusRequestEntityTooLarge, ErrorBody{Message: fmt.Sprintf("a template has at most %d bytes", maxTemplate)})
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxTemplateBytes+1))
+	if err != nil || len(text) > maxTemplateBytes {
+		writeError(w, http.StatusRequestEntityTooLarge, ErrorBody{Message: fmt.Sprintf("a template has at most %d bytes", maxTemplateBytes)})
 		return
 	}
 	query := r.URL.Query()
 	base, err := strconv.ParseUint(query.Get(QueryBase), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, ErrorBody{Message: "base must be the revision that the template is based on; 0 for a new one"})
+		writeError(w, http.StatusBadRequest, ErrorBody{Message: "base must be the revision that the template is based on; 0 for a new one"})
 		return
 	}
 	file := query.Get(QueryFile)
@@ -125,7 +125,7 @@
 	}
 	template, err := configuration.Parse(file, text)
 	if err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
 	requestID := query.Get(QueryRequestID)
@@ -135,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if err := a.checkFit(ctx, file, template); err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
 	accepted, err := confstore.Submit(ctx, a.options.Table, confstore.Submission{
@@ -144,15 +144,15 @@
 		Template:  template,
 	}, time.Now())
 	if err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
 	a.log.Info("accepted a template", "template", template.Name, "revision", uint64(accepted.Revision), "repeated", accepted.Repeated)
-	answer(w, http.StatusOK, accepted)
+	writeJSON(w, http.StatusOK, accepted)
 }
 
-// checkFit refuses a template whose groups are larger than every fabric
-// domain where they are to run: it could never be served.
+// checkFit rejects a template whose groups are larger than every fabric domain of
+// its data centres, since no group of it could be placed.
 func (a *API) checkFit(ctx context.Context, file string, t *configuration.Template) error {
 	if t.Model == "" {
 		return nil
@@ -189,8 +189,8 @@
 	}}
 }
 
-// newest reads all templates as the table has them now.
-func (a *API) newest(ctx context.Context) (ListBody, error) {
+// readTemplates reads the current templates from the table.
+func (a *API) readTemplates(ctx context.Context) (ListBody, error) {
 	rows, err := a.options.Table.Get(ctx, confstore.HeadKey)
 	if err != nil {
 		return ListBody{}, err
@@ -211,29 +211,29 @@
 func (a *API) list(w http.ResponseWriter, _ *http.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	body, err := a.newest(ctx)
+	body, err := a.readTemplates(ctx)
 	if err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, body)
+	writeJSON(w, http.StatusOK, body)
 }
 
 func (a *API) show(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	body, err := a.newest(ctx)
+	body, err := a.readTemplates(ctx)
 	if err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
 	for _, entry := range body.Entries {
 		if entry.Name == r.PathValue("name") {
-			answer(w, http.StatusOK, entry)
+			writeJSON(w, http.StatusOK, entry)
 			return
 		}
 	}
-	refuse(w, http.StatusNotFound, ErrorBody{Message: "there is no template " + r.PathValue("name")})
+	writeError(w, http.StatusNotFound, ErrorBody{Message: "there is no template " + r.PathValue("name")})
 }
 
 func (a *API) history(w http.ResponseWriter, r *http.Request) {
@@ -241,10 +241,10 @@
 	defer cancel()
 	changes, err := confstore.History(ctx, a.options.Table, r.PathValue("name"))
 	if err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, HistoryBody{changes})
+	writeJSON(w, http.StatusOK, HistoryBody{changes})
 }
 
 func (a *API) diff(w http.ResponseWriter, r *http.Request) {
@@ -254,20 +254,20 @@
 	for i, name := range []string{QueryFrom, QueryTo} {
 		revision, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 		if err != nil {
-			refuse(w, http.StatusBadRequest, ErrorBody{Message: name + " must be a revision of the template"})
+			writeError(w, http.StatusBadRequest, ErrorBody{Message: name + " must be a revision of the template"})
 			return
 		}
 		sides[i], err = confstore.At(ctx, a.options.Table, r.PathValue("name"), configuration.Revision(revision))
 		if err != nil {
-			a.fail(w, err)
+			a.handleError(w, err)
 			return
 		}
 		if sides[i] == nil {
-			refuse(w, http.StatusNotFound, ErrorBody{Message: fmt.Sprintf("template %s has no revision %d; see its history", r.PathValue("name"), revision)})
+			writeError(w, http.StatusNotFound, ErrorBody{Message: fmt.Sprintf("template %s has no revision %d; see its history", r.PathValue("name"), revision)})
 			return
 		}
 	}
-	answer(w, http.StatusOK, DiffBody{configuration.Diff(sides[0], sides[1])})
+	writeJSON(w, http.StatusOK, DiffBody{configuration.Diff(sides[0], sides[1])})
 }
 
 func (a *API) status(w http.ResponseWriter, _ *http.Request) {
@@ -275,8 +275,8 @@
 	defer cancel()
 	status, err := a.options.Loop.Status(ctx)
 	if err != nil {
-		a.fail(w, err)
+		a.handleError(w, err)
 		return
 	}
-	answer(w, http.StatusOK, status)
+	writeJSON(w, http.StatusOK, status)
 }
--- a/internal/operatorapi/wire.go
+++ b/internal/operatorapi/wire.go
@@ -12,7 +12,7 @@
 	PathStatus    = "/operator/status"
 )
 
-// Query parameters of a submission and of a difference.
+// Query parameters of the submit and diff calls.
 const (
 	QueryBase      = "base"
 	QueryRequestID = "request_id"
@@ -21,26 +21,26 @@
 	QueryTo        = "to"
 )
 
-// ErrorBody is the answer to a call that failed; one of the details is set
-// where there is more to say than the message.
+// ErrorBody is the response to a failed call, with mistakes or a conflict as
+// details if there are any.
 type ErrorBody struct {
 	Message  string              `json:"message"`
 	Mistakes []inicheck.Mistake  `json:"mistakes,omitempty"`
 	Conflict *confstore.Conflict `json:"conflict,omitempty"`
 }
 
-// HistoryBody is the answer to a history call.
+// HistoryBody is the response to a history call.
 type HistoryBody struct {
 	Changes []confstore.Change `json:"changes"`
 }
 
-// ListBody is the answer to a list call.
+// ListBody is the response to a list call.
 type ListBody struct {
 	Revision configuration.Revision `json:"revision"`
 	Entries  []configuration.Entry  `json:"entries"`
 }
 
-// DiffBody is the answer to a difference call.
+// DiffBody is the response to a diff call.
 type DiffBody struct {
 	Differences []configuration.Difference `json:"differences"`
 }
