--- a/internal/bytecount/bytecount.go
+++ b/internal/bytecount/bytecount.go
@@ -1,5 +1,5 @@
-// Package bytecount counts the bytes of control connections, which have a
-// budget for each node.
+// Package bytecount counts the bytes of control connections, whose traffic is
+// limited per node.
 package bytecount
 
 import (
@@ -14,10 +14,11 @@
 	Written atomic.Int64
 }
 
-// Conn wraps a connection so that its bytes are counted.
+// Conn returns a connection that counts its bytes.
 func (c *Counter) Conn(conn net.Conn) net.Conn { return counted{conn, c} }
 
-// DialContext is net.Dialer's, with the connection's bytes counted.
+// DialContext returns the dialer's DialContext with the bytes of its connections
+// counted.
 func (c *Counter) DialContext(d *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -2,21 +2,21 @@
 // each sends only what the other lacks.
 package delta
 
-// Cursor is what this node and one incarnation of a peer have exchanged. The zero value is for
-// a peer with which nothing was exchanged yet.
+// Cursor holds the versions that this node and one incarnation of a peer have exchanged. The
+// zero value is for a peer with which nothing was exchanged yet.
 type Cursor struct {
-	// received is the version up to which the peer has sent its state, acked that up to which
-	// it has received this node's.
+	// received is the version of the peer's state that this node has, acked the version of
+	// this node's state that the peer has.
 	received uint64
 	acked    uint64
 }
 
-// Acked returns the version up to which the peer has this node's state.
+// Acked returns the version of this node's state that the peer has acknowledged.
 func (c *Cursor) Acked() uint64 { return c.acked }
 
-// Received returns the version up to which this node has the peer's state.
+// Received returns the version of the peer's state that this node has.
 func (c *Cursor) Received() uint64 { return c.received }
 
-// Advance applies a message of the peer, which holds its state up to a version and
-// acknowledges this node's.
+// Advance records a message with the peer's state up to a version and its acknowledgement of
+// this node's state.
 func (c *Cursor) Advance(version, acked uint64) { c.received, c.acked = version, acked }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain tells the story of one request, endpoint or group from the
-// structured logs of any number of nodes.
+// Package explain collects the log lines about one request, endpoint or group
+// from the structured logs of any number of nodes.
 package explain
 
 import (
@@ -14,11 +14,11 @@
 
 // Line is one line of a log.
 type Line struct {
-	// Source is the file, or what stood before the line: a node's name.
+	// Source is the file, or the text before the line, such as a node's name.
 	Source string
 	Time   time.Time
 	Level  string
-	// Part is the fixed prefix of the message, Text the rest.
+	// Part is the message's prefix, Text the rest of the message.
 	Part   string
 	Text   string
 	Fields []Field
@@ -27,7 +27,7 @@
 // Field is one key with its value.
 type Field struct{ Key, Value string }
 
-// Get returns a field's value, or nothing.
+// Get returns a field's value, or an empty string.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -37,17 +37,16 @@
 	return ""
 }
 
-// pair matches one key=value of a line; values with blanks are quoted.
-var pair = regexp.MustCompile(`([A-Za-z_.]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+// fieldPattern matches one key=value pair; values with spaces are quoted.
+var fieldPattern = regexp.MustCompile(`([A-Za-z_.]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// maxLine bounds one line, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// Read reads a log; lines that are none of a node's are left out.
+// Read reads a log. It skips lines that are not structured log lines.
 func Read(source string, r io.Reader) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		if line, ok := parse(source, scanner.Text()); ok {
 			out = append(out, line)
@@ -65,7 +64,7 @@
 	if before := strings.TrimSpace(text[:at]); before != "" {
 		line.Source = before
 	}
-	for _, match := range pair.FindAllStringSubmatch(text[at:], -1) {
+	for _, match := range fieldPattern.FindAllStringSubmatch(text[at:], -1) {
 		value := strings.Trim(match[2], `"`)
 		switch match[1] {
 		case "time":
@@ -81,26 +80,26 @@
 	return line, line.Text != ""
 }
 
-// around is how long before and after a request's own lines those about its
-// endpoints and groups are shown.
-const around = 5 * time.Second
+// contextWindow is the time before and after a request's own lines in which lines
+// about its endpoints and groups are included.
+const contextWindow = 5 * time.Second
 
-// subjects are the fields that name what a line is about.
-var subjects = []string{"request", "endpoint", "group", "at_fault"}
+// subjectKeys are the keys of the fields that identify a line's subjects.
+var subjectKeys = []string{"request", "endpoint", "group", "at_fault"}
 
-// Story returns the lines about an id, and those that tell what was believed
-// of the endpoints and groups that it met, in order of time.
+// Story returns, ordered by time, the lines about an id and those about the
+// endpoints and groups that they mention.
 func Story(lines []Line, id string) []Line {
 	var own []Line
-	met := map[string]bool{}
+	related := map[string]bool{}
 	for _, l := range lines {
-		if !about(l, func(value string) bool { return value == id }) {
+		if !matchesSubject(l, func(value string) bool { return value == id }) {
 			continue
 		}
 		own = append(own, l)
-		for _, key := range subjects {
+		for _, key := range subjectKeys {
 			if value := l.Get(key); value != "" && key != "request" {
-				met[value] = true
+				related[value] = true
 			}
 		}
 	}
@@ -108,13 +107,13 @@
 		return nil
 	}
 	sortByTime(own)
-	from, to := own[0].Time.Add(-around), own[len(own)-1].Time.Add(around)
+	from, to := own[0].Time.Add(-contextWindow), own[len(own)-1].Time.Add(contextWindow)
 	out := own
 	for _, l := range lines {
-		if l.Get("request") != "" || l.Time.Before(from) || l.Time.After(to) || about(l, func(value string) bool { return value == id }) {
+		if l.Get("request") != "" || l.Time.Before(from) || l.Time.After(to) || matchesSubject(l, func(value string) bool { return value == id }) {
 			continue
 		}
-		if about(l, func(value string) bool { return met[value] }) {
+		if matchesSubject(l, func(value string) bool { return related[value] }) {
 			out = append(out, l)
 		}
 	}
@@ -122,8 +121,8 @@
 	return out
 }
 
-func about(l Line, match func(string) bool) bool {
-	return slices.ContainsFunc(subjects, func(key string) bool {
+func matchesSubject(l Line, match func(string) bool) bool {
+	return slices.ContainsFunc(subjectKeys, func(key string) bool {
 		value := l.Get(key)
 		return value != "" && match(value)
 	})
@@ -133,8 +132,8 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// Cause returns what ended a request, from its story: the last decision, and
-// what each attempt met. It is empty if the logs do not tell.
+// Cause returns why a request failed: the last decision and the result of each
+// attempt. It is empty if the lines have no cause.
 func Cause(story []Line, id string) string {
 	var attempts []string
 	end := ""
@@ -161,10 +160,10 @@
 	return end + "; " + strings.Join(attempts, "; ")
 }
 
-// Print writes a story, each line with its time after the first.
+// Print writes the lines with their time since the first, and the cause.
 func Print(w io.Writer, story []Line, id string) {
 	if len(story) == 0 {
-		_, _ = fmt.Fprintf(w, "%s: no line tells of it; served requests are logged at level debug only\n", id)
+		_, _ = fmt.Fprintf(w, "%s: no log lines found; served requests are logged at level debug only\n", id)
 		return
 	}
 	first := story[0].Time
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,5 @@
-// Package invariant asserts, inside the running program, what must always
-// hold. A violation is counted and logged always, and ends the process where
-// SetFatal was called, as tests do.
+// Package invariant checks invariants in the running program. A violation is
+// counted and logged, and panics if SetFatal was called, as in tests.
 package invariant
 
 import (
@@ -9,57 +8,57 @@
 	"sync/atomic"
 )
 
-// Name is one invariant.
+// Name identifies an invariant.
 type Name uint8
 
-// The invariants, one for each promise that can be asserted in place.
+// The invariants.
 const (
-	// GroupWhole: a request starts only on a group all of whose members are
-	// backed by evidence.
+	// GroupWhole: a request is sent only to a complete group with recent evidence
+	// for each member.
 	GroupWhole Name = iota
 	// OneGroup: no instance is a member of two groups.
 	OneGroup
-	// OwnAnswer: an event reaches a caller only if it belongs to the
-	// caller's request and is the next one.
+	// OwnAnswer: an event is sent to a caller only if it belongs to the caller's
+	// request and is the next one.
 	OwnAnswer
-	// NotRun: no request is called not run after a byte of it left.
+	// NotRun: no request is reported as not run if it may have run.
 	NotRun
-	// AtMostOnce: a request that may not be repeated has one attempt.
+	// AtMostOnce: a request that must not be retried has at most one attempt that
+	// may have run.
 	AtMostOnce
-	// NoNewWork: no request starts on a leaving endpoint.
+	// NoNewWork: no request is sent to a draining endpoint.
 	NoNewWork
-	// Forward: configuration and groups never go back.
+	// Forward: the revisions of configuration and groups never decrease.
 	Forward
-	count
+	invariantCount
 )
 
-// String returns the name as metrics have it.
+// String returns the name used in metrics.
 func (n Name) String() string {
-	return [count]string{"group_whole", "one_group", "own_answer", "not_run", "at_most_once", "no_new_work", "forward"}[n]
+	return [invariantCount]string{"group_whole", "one_group", "own_answer", "not_run", "at_most_once", "no_new_work", "forward"}[n]
 }
 
-// Names returns all invariants, for metrics.
+// Names returns all invariants.
 func Names() []Name {
 	var all []Name
-	for n := range count {
+	for n := range invariantCount {
 		all = append(all, n)
 	}
 	return all
 }
 
-// The counters are atomic: own_answer is checked for every token, on all
-// processors at once.
+// Atomics rather than a mutex: own_answer is checked for every token.
 var (
 	fatal      atomic.Bool
-	checks     [count]atomic.Uint64
-	violations [count]atomic.Uint64
+	checks     [invariantCount]atomic.Uint64
+	violations [invariantCount]atomic.Uint64
 )
 
-// SetFatal makes violations panic.
+// SetFatal sets whether violations panic.
 func SetFatal(on bool) { fatal.Store(on) }
 
-// Check asserts that ok holds. The details are only formatted when it does
-// not.
+// Check counts a check and reports a violation if ok is false. The details are
+// formatted only then.
 func Check(ok bool, name Name, format string, args ...any) {
 	checks[name].Add(1)
 	if ok {
@@ -73,7 +72,7 @@
 	}
 }
 
-// Count returns how often an invariant was checked and violated.
+// Count returns how often an invariant was checked and how often violated.
 func Count(name Name) (checked, violated uint64) {
 	return checks[name].Load(), violations[name].Load()
 }
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader at most.
-	queueLines = 1024
-	// linesPerSecond bounds the lines written, so that a flood of failures
-	// does not cost the time that serving needs.
-	linesPerSecond = 400
-	// droppedEvery is the time between two lines about lines dropped.
-	droppedEvery = time.Second
+	// queueCapacity is the number of lines buffered for a slow writer.
+	queueCapacity = 1024
+	// maxLinesPerSecond bounds the rate of lines, so that logging many failures
+	// does not slow down requests.
+	maxLinesPerSecond = 400
+	// dropReportInterval is the least time between two reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
 // Bounded is a writer that never blocks its callers: lines beyond its queue or
-// its rate are dropped, counted, and told of.
+// its rate are dropped, counted and reported.
 type Bounded struct {
 	out   io.Writer
 	queue chan []byte
@@ -33,14 +33,14 @@
 	total   uint64
 }
 
-// NewBounded returns a writer before another one; Close ends it.
+// NewBounded returns a bounded writer to out; Close stops it.
 func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, queue: make(chan []byte, queueLines), done: make(chan struct{})}
+	b := &Bounded{out: out, queue: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write implements io.Writer; it takes one line.
+// Write implements io.Writer; each call must write one line.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,7 +51,7 @@
 		b.second, b.lines = now, 0
 	}
 	b.lines++
-	if b.lines > linesPerSecond {
+	if b.lines > maxLinesPerSecond {
 		b.drop()
 		return len(line), nil
 	}
@@ -66,24 +66,24 @@
 func (b *Bounded) drop() {
 	b.dropped++
 	b.total++
-	droppedLines.Add(1)
+	totalDropped.Add(1)
 }
 
-// droppedLines counts over all writers of the process.
-var droppedLines atomic.Uint64
+// totalDropped counts the dropped lines of all writers.
+var totalDropped atomic.Uint64
 
-// Dropped returns how many lines this process has dropped.
-func Dropped() uint64 { return droppedLines.Load() }
+// Dropped returns the number of lines that all writers have dropped.
+func Dropped() uint64 { return totalDropped.Load() }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines that this writer has dropped.
 func (b *Bounded) Dropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total
 }
 
-// Close writes what is queued and ends the writer. It does not wait for a
-// reader that stands still.
+// Close writes the queued lines and stops the writer. It does not wait for a
+// blocked underlying writer.
 func (b *Bounded) Close() {
 	b.mu.Lock()
 	if !b.closed {
@@ -93,24 +93,24 @@
 	b.mu.Unlock()
 	select {
 	case <-b.done:
-	case <-time.After(droppedEvery):
+	case <-time.After(dropReportInterval):
 	}
 }
 
 func (b *Bounded) run() {
 	defer close(b.done)
-	next := time.Now().Add(droppedEvery)
+	next := time.Now().Add(dropReportInterval)
 	for line := range b.queue {
 		_, _ = b.out.Write(line)
 		if now := time.Now(); now.After(next) {
-			next = now.Add(droppedEvery)
-			b.tellDropped()
+			next = now.Add(dropReportInterval)
+			b.reportDropped()
 		}
 	}
-	b.tellDropped()
+	b.reportDropped()
 }
 
-func (b *Bounded) tellDropped() {
+func (b *Bounded) reportDropped() {
 	b.mu.Lock()
 	dropped := b.dropped
 	b.dropped = 0
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -12,26 +12,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// standing is a reader that stands still until it is released.
-type standing struct {
+// blockedWriter blocks until it is released.
+type blockedWriter struct {
 	mu      sync.Mutex
 	release chan struct{}
 	text    bytes.Buffer
 }
 
-func (s *standing) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-func TestAReaderThatStandsStillBlocksNobody(t *testing.T) {
-	out := &standing{release: make(chan struct{})}
+func TestBounded_BlockedWriterDropsLines(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	b := NewBounded(out)
-	const lines = 3 * queueLines
+	const lines = 3 * queueCapacity
 	for i := range lines {
-		// Every one of these calls would hang if a write could block.
+		// Each call would hang if a write could block.
 		n, err := fmt.Fprintf(b, "line %d\n", i)
 		require.NoError(t, err)
 		require.Positive(t, n)
@@ -47,7 +47,7 @@
 	require.Equal(t, lines, strings.Count(text, "line ")+int(dropped))
 }
 
-func TestErrorsAreOneTextWithoutAStack(t *testing.T) {
+func TestLogger_ErrorsHaveNoStack(t *testing.T) {
 	var out bytes.Buffer
 	before := slog.Default()
 	defer slog.SetDefault(before)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging sets up structured logs with a fixed prefix for each part.
+// Package logging sets up structured logs with a prefix for each component.
 package logging
 
 import (
@@ -9,13 +9,12 @@
 	nbiolog "github.com/lesismal/nbio/logging"
 )
 
-// current is the level in force.
 var current slog.LevelVar
 
-// SetLevel changes the level while the process runs.
+// SetLevel changes the log level at run time.
 func SetLevel(level slog.Level) { current.Set(level) }
 
-// Setup makes slog write to w and routes nbio's own log into it.
+// Setup makes slog and nbio's logger write to w.
 func Setup(w io.Writer, level slog.Level) {
 	current.Set(level)
 	handler := slog.NewTextHandler(w, &slog.HandlerOptions{Level: &current})
@@ -23,12 +22,12 @@
 	nbiolog.SetLogger(nbioLogger{For("nbio")})
 }
 
-// For returns the logger of one part; each of its lines begins with the
-// part's name.
-func For(part string) Logger { return Logger{prefix: part + ": "} }
+// For returns the logger of a component; its messages begin with the component's
+// name.
+func For(component string) Logger { return Logger{prefix: component + ": "} }
 
-// Logger writes short sentences with a fixed prefix. It looks the default
-// logger up on each line, so that a part may be made before Setup.
+// Logger writes messages with a prefix. It looks up the default logger for each
+// line, so that it may be created before Setup.
 type Logger struct {
 	prefix string
 	args   []any
@@ -40,35 +39,35 @@
 	return l
 }
 
-func (l Logger) all(args []any) []any {
+func (l Logger) allArgs(args []any) []any {
 	out := append(append([]any(nil), l.args...), args...)
 	for i, arg := range out {
 		if err, ok := arg.(error); ok {
-			// A line is for one fact; stacks are for a debugger.
+			// Omits the stack trace that oops errors carry.
 			out[i] = err.Error()
 		}
 	}
 	return out
 }
 
-// Debug writes a line for developers.
+// Debug logs a message for developers.
 func (l Logger) Debug(text string, args ...any) {
 	if current.Level() <= slog.LevelDebug {
-		slog.Debug(l.prefix+text, l.all(args)...)
+		slog.Debug(l.prefix+text, l.allArgs(args)...)
 	}
 }
 
-// Info writes a line about a change that operators may want to know.
-func (l Logger) Info(text string, args ...any) { slog.Info(l.prefix+text, l.all(args)...) }
+// Info logs a change that may interest operators.
+func (l Logger) Info(text string, args ...any) { slog.Info(l.prefix+text, l.allArgs(args)...) }
 
-// Warn writes a line about something that was wrong and was dealt with.
-func (l Logger) Warn(text string, args ...any) { slog.Warn(l.prefix+text, l.all(args)...) }
+// Warn logs a fault that was handled.
+func (l Logger) Warn(text string, args ...any) { slog.Warn(l.prefix+text, l.allArgs(args)...) }
 
-// Error writes a line about something that needs an operator.
-func (l Logger) Error(text string, args ...any) { slog.Error(l.prefix+text, l.all(args)...) }
+// Error logs a fault that requires an operator.
+func (l Logger) Error(text string, args ...any) { slog.Error(l.prefix+text, l.allArgs(args)...) }
 
-// nbioLogger turns nbio's log into slog lines. Its errors are those of single
-// connections, which are no concern of an operator.
+// nbioLogger passes nbio's messages to slog at level debug: its errors are about
+// single connections.
 type nbioLogger struct{ out Logger }
 
 func (n nbioLogger) Debug(format string, v ...any) { n.out.Debug(fmt.Sprintf(format, v...)) }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics holds the node's metrics, by tally, and their page.
+// Package metrics collects a node's metrics with tally and serves them to
+// Prometheus.
 package metrics
 
 import (
@@ -20,8 +21,8 @@
 
 const reportInterval = time.Second
 
-// buckets suit waits from a millisecond to a minute.
-var buckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.6, 24)
+// latencyBuckets cover durations from a millisecond to a minute.
+var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.6, 24)
 
 // Metrics is the root of a node's metrics.
 type Metrics struct {
@@ -33,8 +34,8 @@
 	links map[string]*bytecount.Counter
 }
 
-// New returns metrics with a page of their own, so that several nodes can
-// run in one process.
+// New returns metrics with their own registry, so that several nodes can run in
+// one process.
 func New(node, dataCentre string) *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{
@@ -47,14 +48,14 @@
 		Tags:           map[string]string{"node": node, "data_centre": dataCentre},
 		CachedReporter: reporter,
 		Separator:      tallyprom.DefaultSeparator,
-		// The names of tally's own cardinality metrics are not valid here.
+		// The names of tally's cardinality metrics are not valid in Prometheus.
 		OmitCardinalityMetrics: true,
 		SanitizeOptions:        &tallyprom.DefaultSanitizerOpts,
 	}, reportInterval)
 	return &Metrics{scope: scope, closer: closer, handler: reporter.HTTPHandler(), links: map[string]*bytecount.Counter{}}
 }
 
-// Close reports a last time and stops.
+// Close flushes the metrics and stops reporting.
 func (m *Metrics) Close() { _ = m.closer.Close() }
 
 // Handler returns the metrics page.
@@ -75,17 +76,17 @@
 	}
 }
 
-// Inc counts one more of something; the tags' values come from small sets.
+// Inc increments a counter. The tags must have few distinct values.
 func (m *Metrics) Inc(name string, tags map[string]string) {
 	m.scope.Tagged(tags).Counter(name).Inc(1)
 }
 
-// Set tells the present value of something.
+// Set sets a gauge.
 func (m *Metrics) Set(name string, value float64) {
 	m.scope.Gauge(name).Update(value)
 }
 
-// Watch reports the bytes of one kind of control connection.
+// Watch adds a byte counter of one kind of control connection to the metrics.
 func (m *Metrics) Watch(link string, counter *bytecount.Counter) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,11 +104,11 @@
 	}
 }
 
-// Class is the metrics of one workspace and priority class.
+// Class has the metrics of one workspace and priority class.
 type Class struct {
 	scope tally.Scope
-	// Wait is the time in admission; FirstToken and Total count from the
-	// request's arrival; Between is the time between two events.
+	// Wait is the time in the admission queue, FirstToken and Total are the times
+	// since the request's arrival, Between is the time between two events.
 	Wait       tally.Histogram
 	FirstToken tally.Histogram
 	Between    tally.Histogram
@@ -119,10 +120,10 @@
 	scope := m.scope.Tagged(map[string]string{"workspace": workspace, "class": class})
 	return &Class{
 		scope:      scope,
-		Wait:       scope.Histogram("request_wait_seconds", buckets),
-		FirstToken: scope.Histogram("request_first_token_seconds", buckets),
-		Between:    scope.Histogram("request_between_tokens_seconds", buckets),
-		Total:      scope.Histogram("request_total_seconds", buckets),
+		Wait:       scope.Histogram("request_wait_seconds", latencyBuckets),
+		FirstToken: scope.Histogram("request_first_token_seconds", latencyBuckets),
+		Between:    scope.Histogram("request_between_tokens_seconds", latencyBuckets),
+		Total:      scope.Histogram("request_total_seconds", latencyBuckets),
 	}
 }
 
