--- a/internal/inicheck/inicheck.go
+++ b/internal/inicheck/inicheck.go
@@ -1,8 +1,6 @@
-// Package inicheck reads INI text strictly and reports every mistake at once.
-//
-// The settings of a daemon and the templates of operators both go through
-// it. Each mistake names the file, the section, the key, what was given and
-// what is allowed, so that one run of a check is enough to mend a file.
+// Package inicheck parses and validates INI text and reports all mistakes at
+// once, each with its file, section, key, given value and allowed values. It is
+// used for settings and for templates.
 package inicheck
 
 import (
@@ -17,7 +15,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Mistake is one thing wrong with an INI file.
+// Mistake is an invalid, missing or unknown section or key.
 type Mistake struct {
 	File    string
 	Section string
@@ -28,17 +26,17 @@
 
 // Error returns the mistake on one line.
 func (m Mistake) Error() string {
-	place := m.File + ": [" + m.Section + "]"
+	location := m.File + ": [" + m.Section + "]"
 	if m.Key != "" {
-		place += " " + m.Key
+		location += " " + m.Key
 	}
-	return fmt.Sprintf("%s: given %q, allowed: %s", place, m.Given, m.Allowed)
+	return fmt.Sprintf("%s: given %q, allowed: %s", location, m.Given, m.Allowed)
 }
 
-// Mistakes is every mistake of one file.
+// Mistakes are the mistakes of one file.
 type Mistakes []Mistake
 
-// Error returns one line for each mistake.
+// Error returns the mistakes, one per line.
 func (ms Mistakes) Error() string {
 	lines := make([]string, 0, len(ms))
 	for _, m := range ms {
@@ -47,7 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is an INI file that is being read.
+// File is a parsed INI file.
 type File struct {
 	name     string
 	sections map[string]*Section
@@ -55,8 +53,8 @@
 	mistakes Mistakes
 }
 
-// Section is one section of a File. Keys that nobody asked for are reported
-// as unknown by File.Err.
+// Section is one section of a File. File.Err reports the keys that were never
+// read as unknown.
 type Section struct {
 	file *File
 	name string
@@ -65,8 +63,8 @@
 	read bool
 }
 
-// Parse splits the text into sections and keys. A text that is not INI at
-// all gives a File that has one mistake and no sections.
+// Parse parses INI text. If the text is not valid INI, the File has one mistake
+// and no sections.
 func Parse(name string, text []byte) *File {
 	f := &File{name: name, sections: map[string]*Section{}}
 	options := ini.LoadOptions{
@@ -81,12 +79,12 @@
 		return f
 	}
 	for _, section := range parsed.Sections() {
-		f.takeSection(section)
+		f.addSection(section)
 	}
 	return f
 }
 
-func (f *File) takeSection(section *ini.Section) {
+func (f *File) addSection(section *ini.Section) {
 	if section.Name() == ini.DefaultSection {
 		for _, key := range section.Keys() {
 			f.add("", key.Name(), key.Value(), "keys only inside a [section]")
@@ -109,7 +107,7 @@
 	f.mistakes = append(f.mistakes, Mistake{f.name, section, key, given, allowed})
 }
 
-// Section returns the named section; one that is missing reads as empty.
+// Section returns the named section, which is empty if it is missing.
 func (f *File) Section(name string) *Section {
 	s, ok := f.sections[name]
 	if !ok {
@@ -120,7 +118,7 @@
 	return s
 }
 
-// Named returns the sections called `[prefix NAME]`, by NAME, in file order.
+// Named returns the sections `[prefix NAME]` with their NAMEs, in file order.
 func (f *File) Named(prefix string) []NamedSection {
 	var out []NamedSection
 	for _, name := range f.order {
@@ -133,18 +131,18 @@
 	return out
 }
 
-// NamedSection is a section with a name of its own behind its prefix.
+// NamedSection is a section `[prefix NAME]`.
 type NamedSection struct {
 	Name string
 	*Section
 }
 
-// Err returns all mistakes, unknown sections and keys included, or nil.
+// Err returns all mistakes, including unknown sections and keys, or nil.
 func (f *File) Err() error {
 	for _, name := range f.order {
 		s := f.sections[name]
 		if !s.read {
-			f.add(name, "", name, "a section that the documentation names")
+			f.add(name, "", name, "a documented section")
 			continue
 		}
 		s.addUnknown()
@@ -170,7 +168,7 @@
 	}
 }
 
-// Reject adds a mistake of the caller's own.
+// Reject adds a mistake that the caller found.
 func (s *Section) Reject(key, given, allowed string) {
 	s.file.add(s.name, key, given, allowed)
 }
@@ -181,7 +179,7 @@
 	return value, ok && value != ""
 }
 
-// String returns the value of a key, or the fallback where it is absent.
+// String returns the value of a key, or the fallback if it is missing.
 func (s *Section) String(key, fallback string) string {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -190,7 +188,7 @@
 	return value
 }
 
-// Required returns the value of a key that must be there.
+// Required returns the value of a key that must be present.
 func (s *Section) Required(key, allowed string) string {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -199,7 +197,7 @@
 	return value
 }
 
-// Name returns a required name: letters, digits, dot, dash, underscore.
+// Name returns a required name that satisfies IsName.
 func (s *Section) Name(key string) string {
 	const allowed = "a name of 1 to 63 letters, digits, '.', '-' and '_'"
 	value := s.Required(key, allowed)
@@ -211,7 +209,8 @@
 
 const maxNameLength = 63
 
-// IsName reports whether the text can name a workspace, template or place.
+// IsName reports whether the text is a valid name of a workspace, template, node
+// or data centre.
 func IsName(text string) bool {
 	if text == "" || len(text) > maxNameLength {
 		return false
@@ -226,35 +225,35 @@
 	return true
 }
 
-// Int returns a whole number within bounds.
-func (s *Section) Int(key string, fallback, least, most int) int {
+// Int returns an integer within bounds.
+func (s *Section) Int(key string, fallback, minimum, maximum int) int {
 	value, ok := s.lookup(key)
 	if !ok {
 		return fallback
 	}
 	n, err := strconv.Atoi(value)
-	if err != nil || n < least || n > most {
-		s.Reject(key, value, fmt.Sprintf("a whole number from %d to %d", least, most))
+	if err != nil || n < minimum || n > maximum {
+		s.Reject(key, value, fmt.Sprintf("a whole number from %d to %d", minimum, maximum))
 		return fallback
 	}
 	return n
 }
 
 // Float returns a number within bounds.
-func (s *Section) Float(key string, fallback, least, most float64) float64 {
+func (s *Section) Float(key string, fallback, minimum, maximum float64) float64 {
 	value, ok := s.lookup(key)
 	if !ok {
 		return fallback
 	}
 	n, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(n >= least && n <= most) {
-		s.Reject(key, value, fmt.Sprintf("a number from %g to %g", least, most))
+	if err != nil || !(n >= minimum && n <= maximum) {
+		s.Reject(key, value, fmt.Sprintf("a number from %g to %g", minimum, maximum))
 		return fallback
 	}
 	return n
 }
 
-// Bool returns a truth value.
+// Bool returns a boolean: true, yes, false or no.
 func (s *Section) Bool(key string, fallback bool) bool {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -271,20 +270,20 @@
 }
 
 // Duration returns a duration within bounds.
-func (s *Section) Duration(key string, fallback, least, most time.Duration) time.Duration {
+func (s *Section) Duration(key string, fallback, minimum, maximum time.Duration) time.Duration {
 	value, ok := s.lookup(key)
 	if !ok {
 		return fallback
 	}
 	d, err := time.ParseDuration(value)
-	if err != nil || d < least || d > most {
-		s.Reject(key, value, fmt.Sprintf("a duration from %s to %s, such as 250ms or 2s", least, most))
+	if err != nil || d < minimum || d > maximum {
+		s.Reject(key, value, fmt.Sprintf("a duration from %s to %s, such as 250ms or 2s", minimum, maximum))
 		return fallback
 	}
 	return d
 }
 
-// OneOf returns one of the allowed words.
+// OneOf returns one of the allowed values.
 func (s *Section) OneOf(key, fallback string, allowed ...string) string {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -297,7 +296,7 @@
 	return value
 }
 
-// List returns the comma-separated values of a key, without empty ones.
+// List returns the comma-separated values of a key, without empty values.
 func (s *Section) List(key string) []string {
 	value, _ := s.lookup(key)
 	var out []string
--- a/internal/inicheck/inicheck_test.go
+++ b/internal/inicheck/inicheck_test.go
@@ -17,7 +17,7 @@
 		{"no duration", "[a]\nname = x\nwait = soon", `f.ini: [a] wait: given "soon", allowed: a duration from 0s to 1m0s, such as 250ms or 2s`},
 		{"too long", "[a]\nname = x\nwait = 2h", `f.ini: [a] wait: given "2h", allowed: a duration from 0s to 1m0s, such as 250ms or 2s`},
 		{"unknown key", "[a]\nname = x\nwiat = 1s", `f.ini: [a] wiat: given "1s", allowed: one of the keys name, wait`},
-		{"unknown section", "[a]\nname = x\n[b]\nc = 1", `f.ini: [b]: given "b", allowed: a section that the documentation names`},
+		{"unknown section", "[a]\nname = x\n[b]\nc = 1", `f.ini: [b]: given "b", allowed: a documented section`},
 		{"twice", "[a]\nname = x\nname = y", `f.ini: [a] name: given "x and y", allowed: the key once`},
 		{"outside", "k = 1\n[a]\nname = x", `f.ini: [] k: given "1", allowed: keys only inside a [section]`},
 		{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the INI file of one entry instance.
+// Package settings reads and validates the INI file of one entry instance.
 package settings
 
 import (
@@ -17,42 +17,41 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// Settings of one entry instance.
+// Settings are the settings of one entry instance.
 type Settings struct {
 	Node       string
 	DataCentre fleet.DataCentre
-	// Callers, Operator and Peers are the addresses to listen on. Connections
-	// leave from the IP of Peers.
+	// Callers, Operator and Peers are the addresses to listen on. Outgoing
+	// connections use the IP of Peers.
 	Callers  string
 	Operator string
 	Peers    string
-	// Advertised is the address under which other nodes find this one; empty
-	// is Peers.
+	// Advertised is the address at which peers reach this node; empty means Peers.
 	Advertised string
-	// PeerKey is shared by all entry instances, OperatorKey by operators.
+	// PeerKey authenticates entry instances to each other, OperatorKey operators.
 	PeerKey     string
 	OperatorKey string
 	Platform    string
-	// PlatformTimeout bounds one call of the platform.
+	// PlatformTimeout bounds one call to the platform.
 	PlatformTimeout time.Duration
 	MaxBody         int
 	MaxRequests     int
 	MaxAttempts     int
 	RetryShare      float64
-	// ClaimWindow is how long a claim waits for others to share its
+	// ClaimWindow is how long a claim waits to be batched with others into one
 	// transaction.
 	ClaimWindow time.Duration
-	// StopNotice is how long a stopping node goes on taking requests, so that
-	// the balancer can notice; StopBound bounds the whole stop.
+	// StopNotice is how long a stopping node keeps accepting requests, until the
+	// load balancer has removed it. StopBound is how long it then waits for requests
+	// in flight.
 	StopNotice time.Duration
 	StopBound  time.Duration
 	LogLevel   slog.Level
-	// FatalInvariants ends the process at the first violated invariant, for
-	// tests.
+	// FatalInvariants makes a violated invariant panic, for tests.
 	FatalInvariants bool
 	Bootstrap       []membership.Node
 	Intervals       control.Intervals
-	// Membership has the times only; the node fills in the rest.
+	// Membership has only the TTLs and the number of watchers; the node sets the rest.
 	Membership   membership.Options
 	Placement    placement.Options
 	LeaseTTL     time.Duration
@@ -60,15 +59,14 @@
 	CallTimeout  time.Duration
 }
 
-// Bounds and defaults.
 const (
-	minKey             = 16
+	minKeyLength       = 16
 	defaultMaxBody     = 8 << 20
 	maxMaxBody         = 15 << 20
 	defaultMaxRequests = 4096
 )
 
-// Load reads a file.
+// Load reads and parses a settings file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +75,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads settings. The error holds every mistake of the text.
+// Parse parses settings. The error contains all mistakes.
 func Parse(file string, text []byte) (*Settings, error) {
 	f := inicheck.Parse(file, text)
 	s := Defaults()
@@ -141,8 +139,8 @@
 	s.PeerKey = keys.Required("peers", allowed)
 	s.OperatorKey = keys.Required("operator", allowed)
 	for name, value := range map[string]string{"peers": s.PeerKey, "operator": s.OperatorKey} {
-		if value != "" && len(value) < minKey {
-			// The value itself is a secret, even a short one.
+		if value != "" && len(value) < minKeyLength {
+			// A short key is still a secret.
 			keys.Reject(name, "(hidden)", allowed)
 		}
 	}
@@ -157,41 +155,41 @@
 }
 
 func (s *Settings) readTuning(t *inicheck.Section) {
-	const least, most = 10 * time.Millisecond, 5 * time.Minute
-	s.Intervals.Poll = t.Duration("poll", s.Intervals.Poll, least, most)
-	s.Intervals.Exchange = t.Duration("exchange", s.Intervals.Exchange, least, most)
-	s.Intervals.Remote = t.Duration("remote", s.Intervals.Remote, least, most)
-	s.Intervals.Head = t.Duration("head", s.Intervals.Head, least, most)
-	s.Intervals.Instances = t.Duration("instances", s.Intervals.Instances, least, most)
-	s.Intervals.Plan = t.Duration("plan", s.Intervals.Plan, least, most)
-	s.Intervals.Publish = t.Duration("publish", s.Intervals.Publish, least, most)
-	s.Intervals.Refresh = t.Duration("refresh", s.Intervals.Refresh, least, most)
+	const minimum, maximum = 10 * time.Millisecond, 5 * time.Minute
+	s.Intervals.Poll = t.Duration("poll", s.Intervals.Poll, minimum, maximum)
+	s.Intervals.Exchange = t.Duration("exchange", s.Intervals.Exchange, minimum, maximum)
+	s.Intervals.Remote = t.Duration("remote", s.Intervals.Remote, minimum, maximum)
+	s.Intervals.Head = t.Duration("head", s.Intervals.Head, minimum, maximum)
+	s.Intervals.Instances = t.Duration("instances", s.Intervals.Instances, minimum, maximum)
+	s.Intervals.Plan = t.Duration("plan", s.Intervals.Plan, minimum, maximum)
+	s.Intervals.Publish = t.Duration("publish", s.Intervals.Publish, minimum, maximum)
+	s.Intervals.Refresh = t.Duration("refresh", s.Intervals.Refresh, minimum, maximum)
 	s.Membership.Watchers = t.Int("watchers", s.Membership.Watchers, 1, 5)
-	s.Membership.OwnTTL = t.Duration("own_ttl", s.Membership.OwnTTL, least, most)
-	s.Membership.VouchTTL = t.Duration("vouch_ttl", s.Membership.VouchTTL, least, most)
-	s.Membership.PeerTTL = t.Duration("peer_ttl", s.Membership.PeerTTL, least, most)
-	s.LeaseTTL = t.Duration("lease_ttl", s.LeaseTTL, 100*time.Millisecond, most)
-	s.UnfencedWait = t.Duration("unfenced_wait", s.UnfencedWait, 0, most)
-	s.CallTimeout = t.Duration("call_timeout", s.CallTimeout, least, most)
+	s.Membership.OwnTTL = t.Duration("own_ttl", s.Membership.OwnTTL, minimum, maximum)
+	s.Membership.VouchTTL = t.Duration("vouch_ttl", s.Membership.VouchTTL, minimum, maximum)
+	s.Membership.PeerTTL = t.Duration("peer_ttl", s.Membership.PeerTTL, minimum, maximum)
+	s.LeaseTTL = t.Duration("lease_ttl", s.LeaseTTL, 100*time.Millisecond, maximum)
+	s.UnfencedWait = t.Duration("unfenced_wait", s.UnfencedWait, 0, maximum)
+	s.CallTimeout = t.Duration("call_timeout", s.CallTimeout, minimum, maximum)
 	if s.Membership.OwnTTL < 2*s.Intervals.Poll {
-		t.Reject("own_ttl", s.Membership.OwnTTL.String(), "at least twice poll, or each poll that is late takes groups down")
+		t.Reject("own_ttl", s.Membership.OwnTTL.String(), "at least twice poll, or one late poll makes groups unavailable")
 	}
 	if s.Membership.VouchTTL < 2*s.Intervals.Exchange {
-		t.Reject("vouch_ttl", s.Membership.VouchTTL.String(), "at least twice exchange, or each exchange that is late takes groups down")
+		t.Reject("vouch_ttl", s.Membership.VouchTTL.String(), "at least twice exchange, or one late exchange makes groups unavailable")
 	}
 }
 
 func (s *Settings) readPlacement(p *inicheck.Section) {
-	const most = 24 * time.Hour
+	const maximum = 24 * time.Hour
 	o := &s.Placement
-	o.LostGrace = p.Duration("lost_grace", o.LostGrace, 0, most)
-	o.WarmGrace = p.Duration("warm_grace", o.WarmGrace, 0, most)
-	o.RestartGrace = p.Duration("restart_grace", o.RestartGrace, 0, most)
-	o.Settle = p.Duration("settle", o.Settle, 0, most)
-	o.ShrinkAfter = p.Duration("shrink_after", o.ShrinkAfter, 0, most)
+	o.LostGrace = p.Duration("lost_grace", o.LostGrace, 0, maximum)
+	o.WarmGrace = p.Duration("warm_grace", o.WarmGrace, 0, maximum)
+	o.RestartGrace = p.Duration("restart_grace", o.RestartGrace, 0, maximum)
+	o.Settle = p.Duration("settle", o.Settle, 0, maximum)
+	o.ShrinkAfter = p.Duration("shrink_after", o.ShrinkAfter, 0, maximum)
 	o.LoadBudget = p.Int("load_budget", o.LoadBudget, 1, 100_000)
-	o.LoadTime = p.Duration("load_time", o.LoadTime, 0, most)
-	o.DrainTime = p.Duration("drain_time", o.DrainTime, 0, most)
+	o.LoadTime = p.Duration("load_time", o.LoadTime, 0, maximum)
+	o.DrainTime = p.Duration("drain_time", o.DrainTime, 0, maximum)
 	o.FailuresPerHour = p.Float("failures_per_hour", o.FailuresPerHour, 0, 100)
 }
 
@@ -207,8 +205,8 @@
 	}
 }
 
-// Source returns the address that connections leave from: the IP that peers
-// call, so that a firewall, or a test, can tell the nodes apart.
+// Source returns the local address of outgoing connections: the IP of Peers, so that
+// firewalls and tests can identify the node. It is nil if that is unspecified.
 func (s *Settings) Source() net.Addr {
 	address, err := netip.ParseAddrPort(s.Peers)
 	if err != nil || address.Addr().IsUnspecified() {
