--- a/cmd/ridgehinge/explain.go
+++ b/cmd/ridgehinge/explain.go
@@ -16,7 +16,7 @@
 
 func (*explainCommand) Name() string { return "explain" }
 func (*explainCommand) Synopsis() string {
-	return "tell the story of a request, endpoint or group from logs"
+	return "show the log lines about a request, endpoint or group"
 }
 func (*explainCommand) Usage() string {
 	return "explain ID [FILE...]\nReads the logs of any number of nodes, or standard input.\n"
@@ -26,7 +26,7 @@
 
 func (*explainCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "give the id of a request, endpoint or group")
+		fmt.Fprintln(os.Stderr, "missing argument: the id of a request, endpoint or group")
 		return subcommands.ExitUsageError
 	}
 	lines, err := readLogs(f.Args()[1:])
--- a/cmd/ridgehinge/main.go
+++ b/cmd/ridgehinge/main.go
@@ -1,4 +1,4 @@
-// Command ridgehinge is the operators' tool.
+// Command ridgehinge is the command-line tool for operators.
 package main
 
 import (
@@ -13,19 +13,20 @@
 	"github.com/ridgehinge/ridgehinge/internal/operatorapi"
 )
 
-// serverFlags are the flags of the tool itself.
+// serverFlags are the global flags.
 type serverFlags struct {
 	server string
 	key    string
 }
 
-// keyVariable keeps the operator's key out of the process list.
+// keyVariable is the environment variable with the operator's key, which keeps the
+// key out of the process list.
 const keyVariable = "RIDGEHINGE_OPERATOR_KEY"
 
 func main() {
 	var flags serverFlags
 	flag.StringVar(&flags.server, "server", "127.0.0.1:7071", "the operator address of any entry instance")
-	flag.StringVar(&flags.key, "key", os.Getenv(keyVariable), "the operator's key; better in the environment as "+keyVariable)
+	flag.StringVar(&flags.key, "key", os.Getenv(keyVariable), "the operator's key; prefer the environment variable "+keyVariable)
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
 	subcommands.Register(&templateCommand{flags: &flags}, "")
@@ -42,12 +43,12 @@
 	return operatorapi.NewClient(f.server, f.key)
 }
 
-func complain(err error) subcommands.ExitStatus {
+func printError(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	return subcommands.ExitFailure
 }
 
-func wrongUse(usage string) subcommands.ExitStatus {
+func usageError(usage string) subcommands.ExitStatus {
 	fmt.Fprint(os.Stderr, "usage: ridgehinge "+usage)
 	return subcommands.ExitUsageError
 }
--- a/cmd/ridgehinge/request.go
+++ b/cmd/ridgehinge/request.go
@@ -17,7 +17,7 @@
 request -gateway ADDRESS -workspace-key KEY -path /services/NAME/... [-idempotency-key KEY] BODY
 `
 
-// requestCommand sends one request as a caller would.
+// requestCommand sends one request to an entry instance.
 type requestCommand struct {
 	gateway        string
 	key            string
@@ -27,15 +27,17 @@
 	timeout        int
 }
 
-func (*requestCommand) Name() string     { return "request" }
-func (*requestCommand) Synopsis() string { return "send one request and print the answer as it comes" }
-func (*requestCommand) Usage() string    { return requestUsage }
+func (*requestCommand) Name() string { return "request" }
+func (*requestCommand) Synopsis() string {
+	return "send one request and print the response as it arrives"
+}
+func (*requestCommand) Usage() string { return requestUsage }
 
 func (c *requestCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.gateway, "gateway", "127.0.0.1:7070", "the callers' address of an entry instance")
 	f.StringVar(&c.key, "workspace-key", "", "the workspace's key")
 	f.StringVar(&c.path, "path", "", "the path of a plain service")
-	f.BoolVar(&c.stream, "stream", true, "stream the answer")
+	f.BoolVar(&c.stream, "stream", true, "stream the response")
 	f.StringVar(&c.idempotencyKey, "idempotency-key", "", "run at most once under this key")
 	f.IntVar(&c.timeout, "timeout-ms", 0, "the deadline in milliseconds; 0 is the workspace's")
 }
@@ -52,7 +54,7 @@
 
 func (c *requestCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 || c.key == "" {
-		return wrongUse(requestUsage)
+		return usageError(requestUsage)
 	}
 	path, body := c.path, []byte(f.Arg(0))
 	if path == "" {
@@ -61,19 +63,19 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.gateway+path, bytes.NewReader(body))
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	c.setHeaders(request.Header)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(os.Stdout, response.Body); err != nil {
-		return complain(fmt.Errorf("the response ended early: %w", err))
+		return printError(fmt.Errorf("the response ended early: %w", err))
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return complain(fmt.Errorf("status %d, outcome %s, come back after %s s", response.StatusCode,
+		return printError(fmt.Errorf("status %d, outcome %s, retry after %s s", response.StatusCode,
 			response.Header.Get("Ridgehinge-Outcome"), response.Header.Get("Retry-After")))
 	}
 	return subcommands.ExitSuccess
--- a/cmd/ridgehinge/status.go
+++ b/cmd/ridgehinge/status.go
@@ -15,7 +15,7 @@
 
 const statusUsage = "status [-json]\n"
 
-// statusCommand prints the state of the server's data centre.
+// statusCommand prints the status of the server's data centre.
 type statusCommand struct {
 	flags  *serverFlags
 	asJSON bool
@@ -31,11 +31,11 @@
 
 func (c *statusCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 0 {
-		return wrongUse(statusUsage)
+		return usageError(statusUsage)
 	}
 	status, err := c.flags.client().Status()
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	if c.asJSON {
 		return printJSON(status)
@@ -57,16 +57,16 @@
 	}
 	fmt.Fprintln(w, "\nGROUP\tTEMPLATE\tWEIGHTS\tGENERATION\tMEMBERS\tSTATE")
 	for _, g := range s.GroupList {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", g.ID, g.Template, g.Weights, g.Generation, len(g.Members), groupWord(g))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", g.ID, g.Template, g.Weights, g.Generation, len(g.Members), groupState(g))
 	}
 	fmt.Fprintln(w, "\nINSTANCE\tDOMAIN\tPHASE\tGROUP\tLEAVING")
 	for _, in := range s.Instances {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%t\n", in.ID, in.Domain, in.Phase, in.Group, in.Draining)
 	}
-	return flushed(w)
+	return flush(w)
 }
 
-func groupWord(g control.GroupStatus) string {
+func groupState(g control.GroupStatus) string {
 	switch {
 	case g.Draining:
 		return "draining"
--- a/cmd/ridgehinge/template.go
+++ b/cmd/ridgehinge/template.go
@@ -23,11 +23,11 @@
 template check FILE
 `
 
-// templateCommand groups the commands about templates.
+// templateCommand has the subcommands for templates.
 type templateCommand struct{ flags *serverFlags }
 
 func (*templateCommand) Name() string           { return "template" }
-func (*templateCommand) Synopsis() string       { return "submit, revise and look at templates" }
+func (*templateCommand) Synopsis() string       { return "submit, revise and show templates" }
 func (*templateCommand) Usage() string          { return templateUsage }
 func (*templateCommand) SetFlags(*flag.FlagSet) {}
 
@@ -42,12 +42,12 @@
 	commander.Register(&diffCommand{flags: c.flags}, "")
 	commander.Register(&checkCommand{}, "")
 	if err := sub.Parse(f.Args()); err != nil || sub.NArg() == 0 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	return commander.Execute(ctx)
 }
 
-// submitCommand submits a new template, or revises one.
+// submitCommand submits a new template or, with revise set, a change to one.
 type submitCommand struct {
 	flags     *serverFlags
 	revise    bool
@@ -72,7 +72,7 @@
 func (c *submitCommand) Usage() string { return templateUsage }
 
 func (c *submitCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.requestID, "request-id", "", "makes a repeated submission one; give the same again after a lost answer")
+	f.StringVar(&c.requestID, "request-id", "", "idempotency key of the submission; use the same one to retry")
 	if c.revise {
 		f.Uint64Var(&c.base, "base", 0, "the revision that the change is based on")
 	}
@@ -80,15 +80,15 @@
 
 func (c *submitCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 || c.revise && c.base == 0 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	text, err := os.ReadFile(f.Arg(0))
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	accepted, err := c.flags.client().Submit(f.Arg(0), text, configuration.Revision(c.base), c.requestID)
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	if accepted.Repeated {
 		fmt.Printf("accepted before as revision %d\n", accepted.Revision)
@@ -98,7 +98,6 @@
 	return subcommands.ExitSuccess
 }
 
-// listCommand lists all templates.
 type listCommand struct{ flags *serverFlags }
 
 func (*listCommand) Name() string           { return "list" }
@@ -108,11 +107,11 @@
 
 func (c *listCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 0 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	body, err := c.flags.client().List()
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "TEMPLATE\tREVISION\tWEIGHTS\tSERVICE\tWORKSPACES")
@@ -121,31 +120,30 @@
 			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\n", e.Name, e.Revision, e.Template.WeightsName(), e.Template.Service, len(e.Template.Workspaces))
 		}
 	}
-	return flushed(w)
+	return flush(w)
 }
 
-func flushed(w *tabwriter.Writer) subcommands.ExitStatus {
+func flush(w *tabwriter.Writer) subcommands.ExitStatus {
 	if err := w.Flush(); err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	return subcommands.ExitSuccess
 }
 
-// showCommand prints one template.
 type showCommand struct{ flags *serverFlags }
 
 func (*showCommand) Name() string           { return "show" }
-func (*showCommand) Synopsis() string       { return "print a template as it is in force" }
+func (*showCommand) Synopsis() string       { return "print the current revision of a template" }
 func (*showCommand) Usage() string          { return templateUsage }
 func (*showCommand) SetFlags(*flag.FlagSet) {}
 
 func (c *showCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	entry, err := c.flags.client().Show(f.Arg(0))
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	return printJSON(entry)
 }
@@ -154,12 +152,11 @@
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	return subcommands.ExitSuccess
 }
 
-// historyCommand lists the changes of one template.
 type historyCommand struct{ flags *serverFlags }
 
 func (*historyCommand) Name() string           { return "history" }
@@ -169,11 +166,11 @@
 
 func (c *historyCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	body, err := c.flags.client().History(f.Arg(0))
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	var before *configuration.Template
 	for _, change := range body.Changes {
@@ -190,7 +187,6 @@
 	}
 }
 
-// diffCommand compares two revisions of a template.
 type diffCommand struct{ flags *serverFlags }
 
 func (*diffCommand) Name() string           { return "diff" }
@@ -201,20 +197,20 @@
 func (c *diffCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	var from, to configuration.Revision
 	if f.NArg() != 3 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	if _, err := fmt.Sscan(f.Arg(1)+" "+f.Arg(2), &from, &to); err != nil {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	body, err := c.flags.client().Diff(f.Arg(0), from, to)
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	printDifferences(body.Differences)
 	return subcommands.ExitSuccess
 }
 
-// checkCommand checks a template without a server.
+// checkCommand validates a template file without a server.
 type checkCommand struct{}
 
 func (*checkCommand) Name() string           { return "check" }
@@ -224,15 +220,15 @@
 
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return wrongUse(templateUsage)
+		return usageError(templateUsage)
 	}
 	text, err := os.ReadFile(f.Arg(0))
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	t, err := configuration.Parse(f.Arg(0), text)
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	fmt.Printf("%s: template %s is right\n", f.Arg(0), t.Name)
 	return subcommands.ExitSuccess
--- a/cmd/ridgehinged/main.go
+++ b/cmd/ridgehinged/main.go
@@ -1,4 +1,4 @@
-// Command ridgehinged is the entry daemon.
+// Command ridgehinged runs an entry instance.
 package main
 
 import (
@@ -34,20 +34,20 @@
 	os.Exit(int(subcommands.Execute(ctx)))
 }
 
-func complain(err error) subcommands.ExitStatus {
+func printError(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	return subcommands.ExitFailure
 }
 
-// loadSettings reads the file that -settings names.
+// loadSettings reads the file given by -settings.
 func loadSettings(path string) (*settings.Settings, subcommands.ExitStatus) {
 	if path == "" {
-		fmt.Fprintln(os.Stderr, "give the settings file: -settings FILE")
+		fmt.Fprintln(os.Stderr, "missing settings file: use -settings FILE")
 		return nil, subcommands.ExitUsageError
 	}
 	s, err := settings.Load(path)
 	if err != nil {
-		return nil, complain(err)
+		return nil, printError(err)
 	}
 	return s, subcommands.ExitSuccess
 }
@@ -73,7 +73,7 @@
 	logging.Setup(os.Stdout, s.LogLevel)
 	n, err := node.Start(s)
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	<-ctx.Done()
 	n.Stop()
@@ -86,21 +86,21 @@
 	return err == nil && entry.IsFor(text)
 }
 
-// servePlatform serves callers and endpoints by the platform's interface.
+// servePlatform runs an entry instance for the platform's interface.
 func (c *serveCommand) servePlatform(ctx context.Context) subcommands.ExitStatus {
 	s, err := entry.Load(c.path)
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	out := logging.NewBounded(os.Stdout)
 	defer out.Close()
 	logging.Setup(out, s.LogLevel)
-	// From here on a hang-up does not end the process.
+	// Without a handler SIGHUP would terminate the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	e, err := entry.Start(s, platform.Adapter())
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
 	for {
 		select {
@@ -129,7 +129,7 @@
 	if onPlatform(c.path) {
 		s, err := entry.Load(c.path)
 		if err != nil {
-			return complain(err)
+			return printError(err)
 		}
 		fmt.Printf("%s: the settings of %s in %s are right\n", c.path, s.Node, s.DataCentre)
 		return subcommands.ExitSuccess
@@ -148,25 +148,27 @@
 	platform bool
 }
 
-// whole is a small whole in one process.
-type whole interface {
+// devCluster is a development cluster in one process.
+type devCluster interface {
 	Describe(io.Writer)
 	WaitReady() error
 	Smoke(io.Writer) error
 	Stop()
 }
 
-// start starts the whole of the chosen interface.
-func (c *devCommand) start() (whole, error) {
+// start starts a cluster with the chosen interface.
+func (c *devCommand) start() (devCluster, error) {
 	if c.platform {
 		return emulator.Start()
 	}
 	return dev.Start()
 }
 
-func (*devCommand) Name() string     { return "dev" }
-func (*devCommand) Synopsis() string { return "run a small whole in one process, with stand-ins" }
-func (*devCommand) Usage() string    { return "dev [-smoke] [-verbose] [-platform]\n" }
+func (*devCommand) Name() string { return "dev" }
+func (*devCommand) Synopsis() string {
+	return "run a development cluster in one process, with stand-ins"
+}
+func (*devCommand) Usage() string { return "dev [-smoke] [-verbose] [-platform]\n" }
 
 func (c *devCommand) SetFlags(f *flag.FlagSet) {
 	f.BoolVar(&c.smoke, "smoke", false, "send one request for each sample workspace and stop")
@@ -180,18 +182,18 @@
 		level = slog.LevelDebug
 	}
 	logging.Setup(os.Stderr, level)
-	whole, err := c.start()
+	cluster, err := c.start()
 	if err != nil {
-		return complain(err)
+		return printError(err)
 	}
-	defer whole.Stop()
-	whole.Describe(os.Stdout)
-	if err := whole.WaitReady(); err != nil {
-		return complain(err)
+	defer cluster.Stop()
+	cluster.Describe(os.Stdout)
+	if err := cluster.WaitReady(); err != nil {
+		return printError(err)
 	}
 	if c.smoke {
-		if err := whole.Smoke(os.Stdout); err != nil {
-			return complain(err)
+		if err := cluster.Smoke(os.Stdout); err != nil {
+			return printError(err)
 		}
 		return subcommands.ExitSuccess
 	}
--- a/cmd/ridgehinged/main_test.go
+++ b/cmd/ridgehinged/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 func freeAddresses(t *testing.T, n int) []any {
 	t.Helper()
@@ -29,9 +29,9 @@
 	return out
 }
 
-// A hang-up ended the process. It reloads the settings, also if they are unreadable
-// then.
-func TestAHangUpEndsNothing(t *testing.T) {
+// SIGHUP must reload the settings and not terminate the process, even if the new
+// settings are invalid.
+func TestServe_ReloadsOnHangup(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	addresses := freeAddresses(t, 5)
 	text := fmt.Sprintf("[interface]\nkind = platform\n[node]\nname = n\ndata_centre = north\ndata_centres = north\n"+
@@ -42,7 +42,7 @@
 	defer cancel()
 	done := make(chan subcommands.ExitStatus, 1)
 	go func() { done <- (&serveCommand{path: path}).servePlatform(ctx) }()
-	answers := func() bool {
+	responds := func() bool {
 		response, err := http.Get(fmt.Sprintf("http://%s/metrics", addresses[3]))
 		if err != nil {
 			return false
@@ -50,12 +50,12 @@
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}
-	require.Eventually(t, answers, patience, 10*time.Millisecond)
+	require.Eventually(t, responds, waitTimeout, 10*time.Millisecond)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	require.NoError(t, os.WriteFile(path, []byte("[interface]\nkind = platform\n"), 0o600))
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	time.Sleep(100 * time.Millisecond)
-	require.True(t, answers())
+	require.True(t, responds())
 	cancel()
 	require.Equal(t, subcommands.ExitSuccess, <-done)
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a small whole in one process on loopback: three entry
-// instances in two data centres, a platform stand-in, engine stand-ins and
-// plain services. Its parts talk over real sockets.
+// Package dev runs a development cluster in one process on loopback: three entry
+// instances in two data centres, a platform stand-in, engine stand-ins and plain
+// services, connected by real sockets.
 package dev
 
 import (
@@ -28,7 +28,7 @@
 //go:embed samples/*.ini
 var samples embed.FS
 
-// Keys of the small whole; they protect nothing.
+// Keys of the development cluster.
 const (
 	OperatorKey = "dev-operator-key-0000"
 	peerKey     = "dev-peer-key-00000000"
@@ -49,50 +49,49 @@
 	platform *platformstandin.Server
 }
 
-// place is one entry instance of the whole.
-type place struct{ name, dataCentre string }
+type nodeSpec struct{ name, dataCentre string }
 
-var places = []place{{"entry-1", "north"}, {"entry-2", "north"}, {"entry-3", "south"}}
+var nodeSpecs = []nodeSpec{{"entry-1", "north"}, {"entry-2", "north"}, {"entry-3", "south"}}
 
-// Start starts the whole and submits the sample templates.
+// Start starts a cluster and submits the sample templates.
 func Start() (*Cluster, error) {
-	w := &Cluster{platform: platformstandin.New()}
-	platformAddress, err := w.serve(w.platform.Handler())
+	c := &Cluster{platform: platformstandin.New()}
+	platformAddress, err := c.serve(c.platform.Handler())
 	if err != nil {
 		return nil, err
 	}
-	if err := w.startEndpoints(); err != nil {
-		w.Stop()
+	if err := c.startEndpoints(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	if err := w.startNodes(platformAddress); err != nil {
-		w.Stop()
+	if err := c.startNodes(platformAddress); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	if err := w.submitSamples(); err != nil {
-		w.Stop()
+	if err := c.submitSamples(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	return w, nil
+	return c, nil
 }
 
-func (w *Cluster) serve(h http.Handler) (string, error) {
+func (c *Cluster) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", oops.In("dev").Wrap(err)
 	}
 	server := &http.Server{Handler: h}
-	w.servers = append(w.servers, server)
+	c.servers = append(c.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
 
-func (w *Cluster) startEndpoints() error {
+func (c *Cluster) startEndpoints() error {
 	for _, centre := range []string{"north", "south"} {
 		for i := range enginesPerCentre {
 			id := fleet.InstanceID(fmt.Sprintf("%s-%s-%d", enginePrefix, centre, i+1))
 			in := fleet.Instance{ID: id, Domain: centre + "-rack-1", Kind: fleet.KindEngine, Accelerators: 4}
-			if err := w.startEndpoint(in, centre); err != nil {
+			if err := c.startEndpoint(in, centre); err != nil {
 				return err
 			}
 		}
@@ -101,28 +100,28 @@
 			Kind:    fleet.KindService,
 			Service: "notices",
 		}
-		if err := w.startEndpoint(in, centre); err != nil {
+		if err := c.startEndpoint(in, centre); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *Cluster) startEndpoint(in fleet.Instance, centre string) error {
+func (c *Cluster) startEndpoint(in fleet.Instance, centre string) error {
 	server := enginestandin.New(enginestandin.DefaultOptions(in.ID, uint64(time.Now().UnixNano())))
-	address, err := w.serve(server.Handler())
+	address, err := c.serve(server.Handler())
 	if err != nil {
 		return err
 	}
 	in.DataCentre = fleet.DataCentre(centre)
 	in.Address = address
 	in.ChecksFences = in.Kind == fleet.KindEngine
-	w.platform.PutInstance(in)
+	c.platform.PutInstance(in)
 	return nil
 }
 
-func (w *Cluster) startNodes(platformAddress string) error {
-	for _, p := range places {
+func (c *Cluster) startNodes(platformAddress string) error {
+	for _, p := range nodeSpecs {
 		s := settings.Defaults()
 		s.Node = p.name
 		s.DataCentre = fleet.DataCentre(p.dataCentre)
@@ -141,9 +140,9 @@
 		if err != nil {
 			return err
 		}
-		w.Nodes = append(w.Nodes, n)
-		w.Settings = append(w.Settings, s)
-		w.platform.PutInstance(fleet.Instance{
+		c.Nodes = append(c.Nodes, n)
+		c.Settings = append(c.Settings, s)
+		c.platform.PutInstance(fleet.Instance{
 			ID:         fleet.InstanceID(p.name),
 			DataCentre: s.DataCentre,
 			Kind:       fleet.KindEntry,
@@ -153,29 +152,28 @@
 	return nil
 }
 
-// The ports that FreeAddress gives out lie below those that the kernel takes
-// for outgoing connections: a port from among the latter may be gone again
-// before its listener starts.
+// FreeAddress returns ports below the kernel's ephemeral range: an ephemeral port
+// may be in use by an outgoing connection before its listener starts.
 const (
-	firstPort = 12_000
-	lastPort  = 32_000
-	portTries = 1_000
+	firstPort      = 12_000
+	lastPort       = 32_000
+	listenAttempts = 1_000
 )
 
-// portBlock is how many ports a process takes at a time. It listens on the first one of a
-// block for as long as it lives, which keeps the others of the block from the processes that
-// run beside it: one took the port of a stand-in that was down for a second and a half.
-const portBlock = 128
+// portBlockSize is the number of ports that a process reserves at a time. It listens on the
+// first port of a block until it exits, which reserves the others: else a concurrent process
+// could take the port of a stand-in that is stopped for a while.
+const portBlockSize = 128
 
-// ports are those that this process gives out next, up to the end of its newest block.
+// ports are the remaining ports of the last reserved block.
 var ports struct {
-	mu        sync.Mutex
-	next, end int
-	marks     []net.Listener
+	mu           sync.Mutex
+	next, end    int
+	reservations []net.Listener
 }
 
-// nextPort returns a port that no other call of any process is given, while there are blocks
-// that nobody has.
+// nextPort returns a port that is returned to no other call in any process, as long as free
+// blocks remain.
 func nextPort() (int, error) {
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
@@ -188,23 +186,23 @@
 	return ports.next - 1, nil
 }
 
-// claimBlock takes the next block that nobody has; the caller holds the lock.
+// claimBlock reserves the next free block. The caller holds ports.mu.
 func claimBlock() error {
-	blocks := (lastPort - firstPort) / portBlock
+	blocks := (lastPort - firstPort) / portBlockSize
 	for i := range blocks {
-		first := firstPort + (os.Getpid()+len(ports.marks)+i)%blocks*portBlock
-		mark, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first))
+		first := firstPort + (os.Getpid()+len(ports.reservations)+i)%blocks*portBlockSize
+		reservation, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first))
 		if err == nil {
-			ports.marks = append(ports.marks, mark)
-			ports.next, ports.end = first+1, first+portBlock
+			ports.reservations = append(ports.reservations, reservation)
+			ports.next, ports.end = first+1, first+portBlockSize
 			return nil
 		}
 	}
 	return oops.In("dev").Errorf("no free block of ports from %d to %d", firstPort, lastPort)
 }
 
-// FreeAddress returns an address of a loopback IP that nobody listens on. No
-// two calls of a process return the same port.
+// FreeAddress returns an unused address of a loopback IP. No two calls of a process
+// return the same port.
 func FreeAddress(ip string) (string, error) {
 	listener, err := Listen(ip)
 	if err != nil {
@@ -213,10 +211,10 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// Listen listens on such an address. It can be listened on again later, since nobody else
-// is given its port.
+// Listen listens on such an address. The address can be reused after the listener is
+// closed, since no other call gets its port.
 func Listen(ip string) (net.Listener, error) {
-	for range portTries {
+	for range listenAttempts {
 		port, err := nextPort()
 		if err != nil {
 			return nil, err
@@ -229,8 +227,8 @@
 	return nil, oops.In("dev").Errorf("no free port on %s from %d to %d", ip, firstPort, lastPort)
 }
 
-func (w *Cluster) submitSamples() error {
-	client := operatorapi.NewClient(w.Settings[0].Operator, OperatorKey)
+func (c *Cluster) submitSamples() error {
+	client := operatorapi.NewClient(c.Settings[0].Operator, OperatorKey)
 	entries, err := samples.ReadDir("samples")
 	if err != nil {
 		return oops.In("dev").Wrap(err)
@@ -247,11 +245,11 @@
 	return nil
 }
 
-// WaitReady waits until every entry instance serves every sample.
-func (w *Cluster) WaitReady() error {
-	end := time.Now().Add(readyTimeout)
-	for time.Now().Before(end) {
-		if w.ready() {
+// WaitReady waits until every entry instance serves all sample templates.
+func (c *Cluster) WaitReady() error {
+	deadline := time.Now().Add(readyTimeout)
+	for time.Now().Before(deadline) {
+		if c.ready() {
 			return nil
 		}
 		time.Sleep(readyPoll)
@@ -259,8 +257,8 @@
 	return oops.In("dev").Errorf("the sample templates are not served after %s", readyTimeout)
 }
 
-func (w *Cluster) ready() bool {
-	for _, n := range w.Nodes {
+func (c *Cluster) ready() bool {
+	for _, n := range c.Nodes {
 		s := n.Loop().Snapshot()
 		pools := map[string]bool{}
 		for _, t := range s.Targets {
@@ -273,29 +271,29 @@
 	return true
 }
 
-// Describe prints the addresses and a request to paste.
-func (w *Cluster) Describe(out io.Writer) {
-	for _, s := range w.Settings {
+// Describe prints the addresses and example commands.
+func (c *Cluster) Describe(out io.Writer) {
+	for _, s := range c.Settings {
 		fmt.Fprintf(out, "%s in %s: callers http://%s, operators http://%s\n", s.Node, s.DataCentre, s.Callers, s.Operator)
 	}
 	fmt.Fprintf(out, "operator key: %s\n\nTry:\n", OperatorKey)
 	fmt.Fprintf(out, "  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer helpdesk-dev-key' "+
-		"-d '{\"model\":\"savings-8b\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"Where is my transfer?\"}]}'\n", w.Settings[0].Callers)
-	fmt.Fprintf(out, "  go run ./cmd/ridgehinge -server %s -key %s status\n", w.Settings[0].Operator, OperatorKey)
+		"-d '{\"model\":\"savings-8b\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"Where is my transfer?\"}]}'\n", c.Settings[0].Callers)
+	fmt.Fprintf(out, "  go run ./cmd/ridgehinge -server %s -key %s status\n", c.Settings[0].Operator, OperatorKey)
 }
 
-// Stop stops the whole.
-func (w *Cluster) Stop() {
-	for _, n := range w.Nodes {
+// Stop stops the cluster.
+func (c *Cluster) Stop() {
+	for _, n := range c.Nodes {
 		n.Stop()
 	}
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		_ = s.Close()
 	}
 }
 
-// Smoke sends one request for each sample workspace and prints the answers.
-func (w *Cluster) Smoke(out io.Writer) error {
+// Smoke sends one request for each sample workspace and prints the responses.
+func (c *Cluster) Smoke(out io.Writer) error {
 	steps := []struct {
 		name, path, key, body string
 		header                map[string]string
@@ -307,7 +305,7 @@
 			want: "data: [DONE]",
 		},
 		{
-			name: "field-agents, whole", path: "/v1/chat/completions", key: "field-agents-dev-key",
+			name: "field-agents, not streamed", path: "/v1/chat/completions", key: "field-agents-dev-key",
 			body: `{"messages":[{"role":"user","content":"Read this bill."}]}`,
 			want: `"finish_reason":"stop"`,
 		},
@@ -319,20 +317,20 @@
 		},
 	}
 	for _, step := range steps {
-		text, err := w.post(step.path, step.key, step.body, step.header)
+		text, err := c.post(step.path, step.key, step.body, step.header)
 		if err != nil {
 			return oops.In("dev").Wrapf(err, "%s", step.name)
 		}
 		fmt.Fprintf(out, "--- %s\n%s\n", step.name, text)
 		if !strings.Contains(text, step.want) {
-			return oops.In("dev").Errorf("%s: the answer lacks %q", step.name, step.want)
+			return oops.In("dev").Errorf("%s: the response does not contain %q", step.name, step.want)
 		}
 	}
 	return nil
 }
 
-func (w *Cluster) post(path, key, body string, header map[string]string) (string, error) {
-	target := url.URL{Scheme: "http", Host: w.Settings[0].Callers, Path: path}
+func (c *Cluster) post(path, key, body string, header map[string]string) (string, error) {
+	target := url.URL{Scheme: "http", Host: c.Settings[0].Callers, Path: path}
 	request, err := http.NewRequest(http.MethodPost, target.String(), strings.NewReader(body))
 	if err != nil {
 		return "", err
