--- a/cmd/ridgehinge/explain.go
+++ b/cmd/ridgehinge/explain.go
@@ -34,9 +34,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
-	story := explain.Story(lines, f.Arg(0))
-	explain.Print(os.Stdout, story, f.Arg(0))
-	if len(story) == 0 {
+	selected := explain.Story(lines, f.Arg(0))
+	explain.Print(os.Stdout, selected, f.Arg(0))
+	if len(selected) == 0 {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/internal/confstore/confstore.go
+++ b/internal/confstore/confstore.go
@@ -144,7 +144,7 @@
 	Template  string
 }
 
-// Error returns a message with both places and the way to resolve the conflict.
+// Error returns a message with the workspace and the template that uses its name or key.
 func (t *WorkspaceConflict) Error() string {
 	return fmt.Sprintf("workspace %s has the name or the key of one in template %s; choose another", t.Workspace, t.Template)
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -102,7 +102,7 @@
 	return text
 }
 
-// Join decodes and joins the contents of an answer.
+// Join decodes and concatenates the contents of a response.
 func Join(contents []json.RawMessage) string {
 	var b strings.Builder
 	for _, content := range contents {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -18,10 +18,10 @@
 	Source string
 	Time   time.Time
 	Level  string
-	// Part is the message's prefix, Text the rest of the message.
-	Part   string
-	Text   string
-	Fields []Field
+	// Component is the message's prefix, Text the rest of the message.
+	Component string
+	Text      string
+	Fields    []Field
 }
 
 // Field is one key with its value.
@@ -72,7 +72,7 @@
 		case "level":
 			line.Level = value
 		case "msg":
-			line.Part, line.Text, _ = strings.Cut(value, ": ")
+			line.Component, line.Text, _ = strings.Cut(value, ": ")
 		default:
 			line.Fields = append(line.Fields, Field{match[1], value})
 		}
@@ -134,10 +134,10 @@
 
 // Cause returns why a request failed: the last decision and the result of each
 // attempt. It is empty if the lines have no cause.
-func Cause(story []Line, id string) string {
+func Cause(lines []Line, id string) string {
 	var attempts []string
 	end := ""
-	for _, l := range story {
+	for _, l := range lines {
 		if l.Get("request") != id {
 			continue
 		}
@@ -161,14 +161,14 @@
 }
 
 // Print writes the lines with their time since the first, and the cause.
-func Print(w io.Writer, story []Line, id string) {
-	if len(story) == 0 {
+func Print(w io.Writer, lines []Line, id string) {
+	if len(lines) == 0 {
 		_, _ = fmt.Fprintf(w, "%s: no log lines found; served requests are logged at level debug only\n", id)
 		return
 	}
-	first := story[0].Time
-	for _, l := range story {
-		_, _ = fmt.Fprintf(w, "%+9.3fs %-16s %s: %s", l.Time.Sub(first).Seconds(), l.Source, l.Part, l.Text)
+	first := lines[0].Time
+	for _, l := range lines {
+		_, _ = fmt.Fprintf(w, "%+9.3fs %-16s %s: %s", l.Time.Sub(first).Seconds(), l.Source, l.Component, l.Text)
 		for _, f := range l.Fields {
 			if f.Value != "" {
 				_, _ = fmt.Fprintf(w, " %s=%s", f.Key, f.Value)
@@ -176,7 +176,7 @@
 		}
 		_, _ = fmt.Fprintln(w)
 	}
-	if cause := Cause(story, id); cause != "" {
+	if cause := Cause(lines, id); cause != "" {
 		_, _ = fmt.Fprintf(w, "cause: %s\n", cause)
 	}
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-// loopStartDelay is the least time between the start and the stop of an engine. An nbio
+// loopStartDelay is the minimum time between the start and the stop of an engine. An nbio
 // event loop that is stopped before it first runs clears its stop flag when it does, and
 // never ends; nbio does not report when a loop runs.
 const loopStartDelay = 100 * time.Millisecond
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -30,7 +30,7 @@
 	Source net.Addr
 	// Dial is the dial timeout.
 	Dial time.Duration
-	// Silence is how long the peer's kernel may acknowledge nothing.
+	// Silence is how long sent data or keep-alive probes may stay unacknowledged.
 	Silence time.Duration
 }
 
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -14,7 +14,7 @@
 	// maxLinesPerSecond bounds the rate of lines, so that logging many failures
 	// does not slow down requests.
 	maxLinesPerSecond = 400
-	// dropReportInterval is the least time between two reports of dropped lines.
+	// dropReportInterval is the minimum time between two reports of dropped lines.
 	dropReportInterval = time.Second
 )
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -86,8 +86,8 @@
 	m.scope.Gauge(name).Update(value)
 }
 
-// Watch adds a byte counter of one kind of control connection to the metrics.
-func (m *Metrics) Watch(link string, counter *bytecount.Counter) {
+// AddByteCounter adds a byte counter of one kind of control connection to the metrics.
+func (m *Metrics) AddByteCounter(link string, counter *bytecount.Counter) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.links[link] = counter
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,10 +125,10 @@
 		n.close()
 		return nil, err
 	}
-	n.metrics.Watch("platform", n.platform.Bytes())
-	n.metrics.Watch("endpoints", n.engine.ControlBytes())
-	n.metrics.Watch("peers_opened", n.peers.Bytes())
-	n.metrics.Watch("peers_accepted", n.peerServer.Bytes())
+	n.metrics.AddByteCounter("platform", n.platform.Bytes())
+	n.metrics.AddByteCounter("endpoints", n.engine.ControlBytes())
+	n.metrics.AddByteCounter("peers_opened", n.peers.Bytes())
+	n.metrics.AddByteCounter("peers_accepted", n.peerServer.Bytes())
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.running.Go(func() { n.loop.Run(ctx) })
