--- a/internal/standin/advisorylog/advisorylog_test.go
+++ b/internal/standin/advisorylog/advisorylog_test.go
@@ -43,9 +43,9 @@
 	began := time.Now()
 	l := advisorylog.New()
 	l.Mark("n", "e", began)
-	// Its caller sent it in time.
+	// Sent by the caller within the bound, although it arrives later.
 	l.Arrived("n", "e", began.Add(time.Second), began.Add(5*time.Second))
-	// Another node was not told.
+	// The mark was not advertised to this node.
 	l.Arrived("other", "e", began.Add(3*time.Second), began.Add(3*time.Second))
 	require.NoError(t, l.Check(bound, always))
 	l.Arrived("n", "e", began.Add(2100*time.Millisecond), began.Add(2200*time.Millisecond))
--- a/internal/standin/crashlog/crashlog.go
+++ b/internal/standin/crashlog/crashlog.go
@@ -1,5 +1,5 @@
-// Package crashlog records which requests ended the endpoints that ran them, and when they
-// were sent again, as the endpoints see it: for tests and for the emulated platform.
+// Package crashlog records which requests crashed the endpoints that ran them and when they
+// were sent again, as seen by the endpoints, for tests and the emulated platform.
 package crashlog
 
 import (
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Bound is what is allowed of a request that has ended Ends endpoints: once Grace has
-// passed since, it may be sent Sends times more, and no further.
+// Bound limits a request that has crashed Ends endpoints: more than Grace after the last of
+// these crashes, it may be sent at most Sends more times.
 type Bound struct {
 	Ends  int
 	Sends int
 	Grace time.Duration
 }
 
-// Log is what endpoints saw of requests that end them. It is safe for concurrent use.
+// Log holds the sends and crashes of each request content. It is safe for concurrent use.
 type Log struct {
 	mu       sync.Mutex
 	contents map[string]*history
 }
 
 type history struct {
-	sends []time.Time
-	ends  []time.Time
+	sends   []time.Time
+	crashes []time.Time
 }
 
 // New returns an empty log.
@@ -39,7 +39,7 @@
 	return h
 }
 
-// Sent notes that a request of some content has reached an endpoint.
+// Sent records that a request with this content has reached an endpoint.
 func (l *Log) Sent(content string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,31 +47,31 @@
 	h.sends = append(h.sends, at)
 }
 
-// Ended notes that a request of some content has ended an endpoint.
+// Ended records that a request with this content has crashed an endpoint.
 func (l *Log) Ended(content string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.history(content)
-	h.ends = append(h.ends, at)
+	h.crashes = append(h.crashes, at)
 }
 
-// Ends returns how many endpoints the requests of some content have ended.
+// Ends returns the number of endpoints crashed by requests with this content.
 func (l *Log) Ends(content string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.history(content).ends)
+	return len(l.history(content).crashes)
 }
 
-// Check returns an error for a request that was sent more often than is allowed. Only
-// sends count before which no trouble has come for the grace: calm tells that.
+// Check returns an error for a request that was sent more often than allowed. Only sends at
+// times for which calm returns true count.
 func (l *Log) Check(b Bound, calm func(at time.Time) bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for content, h := range l.contents {
-		if len(h.ends) < b.Ends {
+		if len(h.crashes) < b.Ends {
 			continue
 		}
-		from := h.ends[b.Ends-1].Add(b.Grace)
+		from := h.crashes[b.Ends-1].Add(b.Grace)
 		sends := 0
 		for _, at := range h.sends {
 			if at.After(from) && calm(at) {
@@ -79,8 +79,8 @@
 			}
 		}
 		if sends > b.Sends {
-			return fmt.Errorf("a request under which %d endpoints had ended was sent %d times more; %d ended in all: %.60s",
-				b.Ends, sends, len(h.ends), content)
+			return fmt.Errorf("a request that had crashed %d endpoints was sent %d more times; it crashed %d in all: %.60s",
+				b.Ends, sends, len(h.crashes), content)
 		}
 	}
 	return nil
--- a/internal/standin/crashlog/crashlog_test.go
+++ b/internal/standin/crashlog/crashlog_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSendsAfterTheThirdEndAreCounted(t *testing.T) {
+func TestCheck_CountsSendsAfterThirdCrash(t *testing.T) {
 	start := time.Unix(1000, 0)
 	always := func(time.Time) bool { return true }
 	bound := Bound{Ends: 3, Sends: 3, Grace: 2 * time.Second}
@@ -25,7 +25,7 @@
 		require.NoError(t, l.Check(bound, always), i)
 		l.Sent("a", third.Add(bound.Grace+time.Second))
 	}
-	require.ErrorContains(t, l.Check(bound, always), "sent 4 times more; 3 ended in all")
+	require.ErrorContains(t, l.Check(bound, always), "sent 4 more times; it crashed 3 in all")
 	require.NoError(t, l.Check(bound, func(time.Time) bool { return false }))
 	l.Ended("b", start)
 	l.Ended("b", start)
--- a/internal/standin/enginestandin/enginestandin.go
+++ b/internal/standin/enginestandin/enginestandin.go
@@ -1,10 +1,9 @@
-// Package enginestandin plays one endpoint, a model engine or a plain
-// service, for `ridgehinged dev` and for tests.
+// Package enginestandin is a stand-in for one endpoint, a model engine or a plain service, for
+// `ridgehinged dev` and for tests.
 //
-// A model engine has slots, a time for each token, a bounded prefix cache,
-// priorities and fenced orders, and reports its load late. Its answer is a
-// function of the prompt alone, so that a test knows the whole answer that a
-// caller must get.
+// A model engine has slots, a latency per token, a bounded prefix cache, priorities and fenced
+// orders, and reports its load with a lag. Its response depends on the prompt alone, so that
+// tests can compare complete responses.
 package enginestandin
 
 import (
@@ -24,23 +23,24 @@
 type Options struct {
 	Instance    fleet.InstanceID
 	Incarnation uint64
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Prefill is the time to the first token without a cached prefix.
+	// Prefill is the latency of the first token without a cached prefix.
 	Prefill time.Duration
-	// TokenTime is the time between two tokens.
+	// TokenTime is the latency of each further token and of a plain service's response.
 	TokenTime time.Duration
 	// LoadTime is the time to load weights.
 	LoadTime time.Duration
-	// ReportLag is how late the reported load is.
+	// ReportLag is the delay after which a change of load appears in reports.
 	ReportLag time.Duration
-	// ChecksFences makes the endpoint refuse lower fences.
+	// ChecksFences makes the endpoint reject orders with a lower fence and requests for
+	// another group or generation.
 	ChecksFences bool
-	// Tokens is the length of an answer when the request does not say.
+	// Tokens is the default response length.
 	Tokens int
 }
 
-// DefaultOptions returns a small and quick engine.
+// DefaultOptions returns the options of a small and fast engine.
 func DefaultOptions(id fleet.InstanceID, incarnation uint64) Options {
 	return Options{
 		Instance:     id,
@@ -55,25 +55,24 @@
 	}
 }
 
-// maxPrefixes bounds the prefix cache.
+// maxPrefixes is the size of the prefix cache.
 const maxPrefixes = 64
 
 // Server is one endpoint.
 type Server struct {
 	options Options
 
-	mu     sync.Mutex
-	report fleet.Report
-	fence  fleet.Fence
-	load   int
-	free   *slots
-	cached map[uint64]bool
-	order  []uint64
-	// started counts the requests that began, by attempt and by the caller's
-	// own mark, so that tests can count runs.
-	runs   map[string]int
-	cancel map[string]chan struct{}
-	timer  *time.Timer
+	mu         sync.Mutex
+	report     fleet.Report
+	fence      fleet.Fence
+	load       int
+	slots      *slots
+	cached     map[uint64]bool
+	cacheOrder []uint64
+	// runs counts started requests by attempt ID and by idempotency key.
+	runs      map[string]int
+	cancels   map[string]chan struct{}
+	loadTimer *time.Timer
 }
 
 // New returns an idle endpoint.
@@ -86,10 +85,10 @@
 			Version:     1,
 			Slots:       options.Slots,
 		},
-		free:   newSlots(options.Slots),
-		cached: map[uint64]bool{},
-		runs:   map[string]int{},
-		cancel: map[string]chan struct{}{},
+		slots:   newSlots(options.Slots),
+		cached:  map[uint64]bool{},
+		runs:    map[string]int{},
+		cancels: map[string]chan struct{}{},
 	}
 }
 
@@ -106,7 +105,7 @@
 	return mux
 }
 
-// change runs f on the report and gives it a new version.
+// change updates the report and increments its version if f modifies it.
 func (s *Server) change(f func(*fleet.Report)) {
 	before := s.report
 	f(&s.report)
@@ -115,14 +114,14 @@
 	}
 }
 
-// Runs returns how often requests with a mark have started.
-func (s *Server) Runs(mark string) int {
+// Runs returns the number of started requests with an attempt ID or idempotency key.
+func (s *Server) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.runs[mark]
+	return s.runs[key]
 }
 
-// Report returns the endpoint's own report.
+// Report returns the endpoint's current report.
 func (s *Server) Report() fleet.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,17 +160,17 @@
 	defer s.mu.Unlock()
 	wrong := o.Incarnation != s.options.Incarnation
 	if wrong || s.options.ChecksFences && o.Fence.Less(s.fence) {
-		http.Error(w, "out of date", http.StatusConflict)
+		http.Error(w, "stale fence or incarnation", http.StatusConflict)
 		return
 	}
 	s.fence = o.Fence
-	s.obey(o)
+	s.applyOrder(o)
 }
 
-func (s *Server) obey(o engine.Order) {
+func (s *Server) applyOrder(o engine.Order) {
 	switch o.Kind {
 	case engine.OrderRelease:
-		s.stopTimer()
+		s.stopLoadTimer()
 		s.change(func(r *fleet.Report) {
 			r.Phase = fleet.PhaseIdle
 			r.Group = ""
@@ -186,15 +185,15 @@
 	}
 }
 
-func (s *Server) stopTimer() {
-	if s.timer != nil {
-		s.timer.Stop()
+func (s *Server) stopLoadTimer() {
+	if s.loadTimer != nil {
+		s.loadTimer.Stop()
 	}
 }
 
-// startLoad loads the weights, or goes on at once when they are in memory.
+// startLoad starts loading the weights; it completes without delay if they are loaded already.
 func (s *Server) startLoad(o engine.Order) {
-	s.stopTimer()
+	s.stopLoadTimer()
 	wait := s.options.LoadTime
 	if s.report.Weights == o.Weights {
 		wait = 0
@@ -208,10 +207,10 @@
 		}
 	})
 	fence := o.Fence
-	s.timer = time.AfterFunc(wait, func() { s.loaded(o, fence) })
+	s.loadTimer = time.AfterFunc(wait, func() { s.finishLoad(o, fence) })
 }
 
-func (s *Server) loaded(o engine.Order, fence fleet.Fence) {
+func (s *Server) finishLoad(o engine.Order, fence fleet.Fence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fence != fence || s.report.Phase != fleet.PhaseLoading {
@@ -226,7 +225,7 @@
 	})
 }
 
-// addLoad changes the load; the report follows late.
+// addLoad changes the load and updates the report after ReportLag.
 func (s *Server) addLoad(n int) {
 	s.mu.Lock()
 	s.load += n
@@ -238,8 +237,9 @@
 	})
 }
 
-// fenced checks a request's fence, as an engine that knows its group does.
-func (s *Server) fenced(r *http.Request) bool {
+// matchesFence reports whether a request names the group and generation that the endpoint is
+// ready in. It is always true without ChecksFences.
+func (s *Server) matchesFence(r *http.Request) bool {
 	if !s.options.ChecksFences {
 		return true
 	}
@@ -255,7 +255,7 @@
 	http.Error(w, text, http.StatusServiceUnavailable)
 }
 
-// ChatRequest is what the stand-in reads of a request.
+// ChatRequest holds the fields of a chat request that the stand-in uses.
 type ChatRequest struct {
 	Model     string `json:"model"`
 	MaxTokens int    `json:"max_tokens"`
@@ -265,7 +265,7 @@
 	} `json:"messages"`
 }
 
-// Prompt joins the messages.
+// Prompt returns the messages joined into one text.
 func (q ChatRequest) Prompt() string {
 	prompt := ""
 	for _, m := range q.Messages {
@@ -274,10 +274,10 @@
 	return prompt
 }
 
-// words are what answers are made of.
+// words is the vocabulary of responses.
 var words = []string{"the", "transfer", "box", "arrived", "on", "time", "grind", "and", "balance", "is", "safe", "today"}
 
-// Answer returns the text of an answer of so many tokens to a prompt.
+// Answer returns the text of the response to a prompt with the given number of tokens.
 func Answer(prompt string, tokens int) string {
 	text := ""
 	for i := range tokens {
@@ -286,7 +286,7 @@
 	return text
 }
 
-// Token returns one token of the answer to a prompt.
+// Token returns the token at index i of the response to a prompt.
 func Token(prompt string, i int) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s/%d", prompt, i)
@@ -299,62 +299,62 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.fenced(r) {
-		notStarted(w, "another group")
+	if !s.matchesFence(r) {
+		notStarted(w, "wrong group or generation")
 		return
 	}
 	attempt := r.Header.Get(engine.HeaderAttempt)
 	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority))
-	gone := s.register(attempt)
+	cancelled := s.register(attempt)
 	defer s.unregister(attempt)
 	s.addLoad(1)
 	defer s.addLoad(-1)
-	if !s.free.acquire(r.Context().Done(), gone, priority) {
+	if !s.slots.acquire(r.Context().Done(), cancelled, priority) {
 		return
 	}
-	defer s.free.release()
+	defer s.slots.release()
 	s.count(attempt)
-	if mark := r.Header.Get("Idempotency-Key"); mark != "" {
-		s.count(mark)
+	if key := r.Header.Get("Idempotency-Key"); key != "" {
+		s.count(key)
 	}
 	if q.MaxTokens == 0 {
 		q.MaxTokens = s.options.Tokens
 	}
 	from, _ := strconv.Atoi(r.Header.Get(engine.HeaderResumeFrom))
-	s.stream(w, r, q, attempt, from, gone)
+	s.stream(w, r, q, attempt, from, cancelled)
 }
 
 func (s *Server) register(attempt string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := make(chan struct{})
-	s.cancel[attempt] = gone
-	return gone
+	cancelled := make(chan struct{})
+	s.cancels[attempt] = cancelled
+	return cancelled
 }
 
 func (s *Server) unregister(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.cancel, attempt)
+	delete(s.cancels, attempt)
 }
 
-func (s *Server) count(mark string) {
+func (s *Server) count(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runs[mark]++
+	s.runs[key]++
 }
 
 func (s *Server) handleCancel(_ http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	attempt := r.URL.Query().Get("attempt")
-	if gone, ok := s.cancel[attempt]; ok {
-		close(gone)
-		delete(s.cancel, attempt)
+	if cancelled, ok := s.cancels[attempt]; ok {
+		close(cancelled)
+		delete(s.cancels, attempt)
 	}
 }
 
-// prefill returns the time to the first token and caches the prefix.
+// prefill returns the latency of the first token and caches the prefix.
 func (s *Server) prefill(prompt string) time.Duration {
 	h := fnv.New64a()
 	fmt.Fprint(h, prompt[:min(len(prompt), 64)])
@@ -365,15 +365,15 @@
 		return s.options.Prefill / 4
 	}
 	s.cached[key] = true
-	s.order = append(s.order, key)
-	if len(s.order) > maxPrefixes {
-		delete(s.cached, s.order[0])
-		s.order = s.order[1:]
+	s.cacheOrder = append(s.cacheOrder, key)
+	if len(s.cacheOrder) > maxPrefixes {
+		delete(s.cached, s.cacheOrder[0])
+		s.cacheOrder = s.cacheOrder[1:]
 	}
 	return s.options.Prefill
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, q ChatRequest, attempt string, from int, gone chan struct{}) {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, q ChatRequest, attempt string, from int, cancelled chan struct{}) {
 	prompt := q.Prompt()
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := w.(http.Flusher)
@@ -381,7 +381,7 @@
 	next := time.Now()
 	for i := from; i < q.MaxTokens; i++ {
 		next = next.Add(wait)
-		if !sleepUntil(r.Context().Done(), gone, next) {
+		if !sleepUntil(r.Context().Done(), cancelled, next) {
 			return
 		}
 		wait = s.options.TokenTime
@@ -406,26 +406,26 @@
 	fmt.Fprintf(w, "data: %s\n\n", data)
 }
 
-func sleepUntil(done <-chan struct{}, gone chan struct{}, at time.Time) bool {
+func sleepUntil(done <-chan struct{}, cancelled chan struct{}, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
 	case <-done:
-	case <-gone:
+	case <-cancelled:
 	}
 	return false
 }
 
-// handlePlain answers any other path as a plain service, and counts the
-// runs of requests that are marked.
+// handlePlain serves all other paths as a plain service. It counts runs by idempotency key or
+// else by attempt ID.
 func (s *Server) handlePlain(w http.ResponseWriter, r *http.Request) {
-	mark := r.Header.Get("Idempotency-Key")
-	if mark == "" {
-		mark = r.Header.Get(engine.HeaderAttempt)
+	key := r.Header.Get("Idempotency-Key")
+	if key == "" {
+		key = r.Header.Get(engine.HeaderAttempt)
 	}
-	s.count(mark)
+	s.count(key)
 	time.Sleep(s.options.TokenTime)
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, `{"service":%q,"path":%q,"method":%q}`+"\n", s.options.Instance, r.URL.Path, r.Method)
--- a/internal/standin/enginestandin/slots.go
+++ b/internal/standin/enginestandin/slots.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// slots is a counting semaphore whose waiters go by priority, then in order.
+// slots is a counting semaphore that serves waiters by priority, then first come, first served.
+// Priority 0 is the highest.
 type slots struct {
 	mu    sync.Mutex
 	free  int
@@ -11,8 +12,8 @@
 
 func newSlots(n int) *slots { return &slots{free: n} }
 
-// acquire waits for a slot; it returns false when the caller went first.
-func (s *slots) acquire(done <-chan struct{}, gone <-chan struct{}, priority int) bool {
+// acquire waits for a slot; it returns false if done or cancelled is closed first.
+func (s *slots) acquire(done <-chan struct{}, cancelled <-chan struct{}, priority int) bool {
 	priority = min(max(priority, 0), len(s.queue)-1)
 	s.mu.Lock()
 	if s.free > 0 {
@@ -27,10 +28,10 @@
 	case <-turn:
 		return true
 	case <-done:
-	case <-gone:
+	case <-cancelled:
 	}
 	if !s.withdraw(priority, turn) {
-		// The slot was given while the caller went.
+		// The slot was granted concurrently with the cancellation.
 		s.release()
 	}
 	return false
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -1,8 +1,7 @@
-// Package fleetstandin stands in for model endpoints that keep their own
-// state in a table and form replica groups by order: joins, opens, leaves,
-// staged models, fences and counted orders, with orders that get no answer
-// and are carried out late. It notes every promise about groups that is
-// broken.
+// Package fleetstandin is a stand-in for model endpoints that store their state in a table and
+// form replica groups on orders of a controller: join, open, leave and stage, with fencing
+// tokens and order counts. Orders can be left unanswered and applied late. Violated invariants
+// of groups are recorded.
 package fleetstandin
 
 import (
@@ -29,13 +28,13 @@
 	EndpointTable      = "endpoints"
 )
 
-// rejoin is how long a member takes that had the model last.
-const rejoin = 2 * time.Millisecond
+// rejoinTime is the load time of a member whose last group served the same model.
+const rejoinTime = 2 * time.Millisecond
 
-// formation is how long a head takes to open.
-const formation = 3 * time.Millisecond
+// openTime is the time that a head takes to open its group.
+const openTime = 3 * time.Millisecond
 
-// Codec reads the stand-in's rows, which are plain JSON.
+// Codec decodes the stand-in's rows, which are JSON.
 func Codec() directory.Codec {
 	return directory.Codec{
 		Configuration: func(value []byte) (*serving.Configuration, error) {
@@ -57,7 +56,7 @@
 	}
 }
 
-// member is an endpoint's place in a group, with the list it was given.
+// member is an endpoint's membership of a group, with the member list of its join order.
 type member struct {
 	serving.Membership
 	members []serving.EndpointID
@@ -70,50 +69,50 @@
 	fence  uint64
 	epoch  uint64
 	group  member
-	// last is the model of the last group since the start.
-	last string
-	// gone endpoints are dead; unreachable ones answer nobody; unlisted ones
-	// have no row.
-	gone        bool
+	// lastModel is the model of the last group of this incarnation.
+	lastModel string
+	// Terminated endpoints do nothing, unreachable ones answer no call, and unlisted ones have
+	// no row.
+	terminated  bool
 	unreachable bool
 	unlisted    bool
 }
 
-// Fleet is a number of endpoints over one table.
+// Fleet is a set of endpoints that share a table.
 type Fleet struct {
-	table *memtable.Table
-	model map[string]serving.Model
-	// encode writes an endpoint's row.
-	encode func(serving.Endpoint) []byte
-	// endpointTable is the table of the rows.
+	table  *memtable.Table
+	models map[string]serving.Model
+	// encode returns the value of an endpoint's row.
+	encode        func(serving.Endpoint) []byte
 	endpointTable string
 
 	mu        sync.Mutex
 	endpoints map[serving.EndpointID]*Endpoint
-	// ready are the members that were ready once, by name, epoch and id.
-	ready map[readyKey]bool
-	// left are the members that left their group or ended in it.
-	left map[readyKey]bool
-	// lists has what each epoch was given to.
-	lists map[uint64]formed
-	// late is how long an order without an answer waits.
-	late       func() time.Duration
-	loads      int
-	joinLoads  int
-	ordersSeen int
-	refused    int
-	reports    int
-	broken     []string
-}
-
-// formed is what an epoch was given to. Each domain's controller has epochs of its own.
-type formed struct {
+	// everReady holds the members that have been ready.
+	everReady map[memberKey]bool
+	// formerMembers holds the members that left their group or were restarted in it.
+	formerMembers map[memberKey]bool
+	// epochs maps each epoch to the group it was last assigned to.
+	epochs map[uint64]epochGroup
+	// orderDelay returns the delay of an unanswered order, or 0 for an answered one.
+	orderDelay     func() time.Duration
+	loads          int
+	joinLoads      int
+	ordersSeen     int
+	rejectedOrders int
+	reports        int
+	violations     []string
+}
+
+// epochGroup is the group that an epoch was assigned to. Each domain's controller has its own
+// epochs.
+type epochGroup struct {
 	group   string
 	domain  string
 	members []serving.EndpointID
 }
 
-type readyKey struct {
+type memberKey struct {
 	group string
 	epoch uint64
 	id    serving.EndpointID
@@ -128,33 +127,33 @@
 	return NewEncoded(t, models, EndpointTable, encode)
 }
 
-// NewEncoded returns a fleet whose rows stand in a table, and in a form, of
-// the caller's choice.
+// NewEncoded returns a fleet without endpoints that stores its rows in the given table and
+// encoding.
 func NewEncoded(t *memtable.Table, models []serving.Model, endpointTable string, encode func(serving.Endpoint) []byte) *Fleet {
 	f := &Fleet{
 		table: t,
 
 		endpointTable: endpointTable,
 		encode:        encode,
-		model:         map[string]serving.Model{},
+		models:        map[string]serving.Model{},
 		endpoints:     map[serving.EndpointID]*Endpoint{},
-		ready:         map[readyKey]bool{},
-		left:          map[readyKey]bool{},
-		lists:         map[uint64]formed{},
-		late:          func() time.Duration { return 0 },
+		everReady:     map[memberKey]bool{},
+		formerMembers: map[memberKey]bool{},
+		epochs:        map[uint64]epochGroup{},
+		orderDelay:    func() time.Duration { return 0 },
 	}
 	for _, m := range models {
-		f.model[m.Name] = m
+		f.models[m.Name] = m
 	}
 	return f
 }
 
-// SetLate has orders carried out late, and unanswered, when the function
-// returns more than zero.
-func (f *Fleet) SetLate(late func() time.Duration) {
+// SetLate leaves orders unanswered and applies them after the delay that the function returns,
+// if it is positive.
+func (f *Fleet) SetLate(delay func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.late = late
+	f.orderDelay = delay
 }
 
 // Add starts an endpoint and writes its row.
@@ -167,30 +166,29 @@
 	f.write(added)
 }
 
-// Condition of an endpoint, as a fault sets it.
+// Condition is the state of an endpoint set by fault injection.
 type Condition uint8
 
-// The conditions.
 const (
 	// Well endpoints answer and are listed.
 	Well Condition = iota
-	// Dark endpoints are dead, and say nothing.
+	// Dark endpoints are terminated and have no row.
 	Dark
-	// CutOff endpoints run on, but neither the table nor any controller
-	// reaches them.
+	// CutOff endpoints run, but are isolated: they have no row and controllers cannot reach
+	// them.
 	CutOff
-	// Unlisted endpoints answer, but their row is gone.
+	// Unlisted endpoints answer, but have no row.
 	Unlisted
-	// Leaving endpoints say that they are about to end.
+	// Leaving endpoints advertise that they are draining.
 	Leaving
 )
 
-// Set puts an endpoint into a condition.
+// Set changes the condition of an endpoint.
 func (f *Fleet) Set(id serving.EndpointID, c Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
-	e.gone = c == Dark
+	e.terminated = c == Dark
 	e.unreachable = c == Dark || c == CutOff
 	e.unlisted = c == Dark || c == CutOff || c == Unlisted
 	e.Draining = c == Leaving
@@ -201,23 +199,23 @@
 	f.write(e)
 }
 
-// Crash ends an incarnation of an endpoint without a word; its row stays as it was.
+// Crash terminates an endpoint and leaves its row unchanged.
 func (f *Fleet) Crash(id serving.EndpointID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
-	e.gone, e.unreachable = true, true
+	e.terminated, e.unreachable = true, true
 }
 
-// Restart begins a new incarnation of an endpoint under the id that it had: it holds and knows
-// nothing of before, but for what is staged on its host.
+// Restart starts a new incarnation of an endpoint under the same ID. Only the staged models
+// are kept.
 func (f *Fleet) Restart(id serving.EndpointID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.endpoints[id]
-	// What was under way in the incarnation before acts on its own record.
-	before.gone = true
-	f.leaves(before)
+	// Pending timers of the previous incarnation refer to this record.
+	before.terminated = true
+	f.recordLeave(before)
 	fresh := &Endpoint{Endpoint: before.Endpoint}
 	fresh.Model, fresh.Draining, fresh.Writes = "", false, 0
 	fresh.StartedAt = f.nextStart(before.StartedAt)
@@ -225,21 +223,21 @@
 	f.write(fresh)
 }
 
-// StartedAt returns when the present incarnation of an endpoint started, in Unix milliseconds.
+// StartedAt returns the start of an endpoint's current incarnation in Unix milliseconds.
 func (f *Fleet) StartedAt(id serving.EndpointID) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.endpoints[id].StartedAt
 }
 
-// nextStart returns when an incarnation begins that follows another one.
+// nextStart returns a start time later than that of the previous incarnation.
 func (f *Fleet) nextStart(before int64) int64 { return max(before+1, time.Now().UnixMilli()) }
 
-// Broken returns the promises that were broken, in order.
+// Broken returns the violated invariants in the order of their detection.
 func (f *Fleet) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.broken)
+	return slices.Clone(f.violations)
 }
 
 // Loads returns the number of loads from the weight store.
@@ -249,26 +247,25 @@
 	return f.loads
 }
 
-// LastModel returns the model of an endpoint's last group, which it starts at
-// once.
+// LastModel returns the model of an endpoint's last group.
 func (f *Fleet) LastModel(id serving.EndpointID) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.endpoints[id].last
+	return f.endpoints[id].lastModel
 }
 
-// JoinLoads returns how many joins had to load their model.
+// JoinLoads returns the number of joins that loaded their model from the weight store.
 func (f *Fleet) JoinLoads() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.joinLoads
 }
 
-// Refused returns how many orders that were answered were refused.
+// Refused returns the number of answered orders that were rejected.
 func (f *Fleet) Refused() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.refused
+	return f.rejectedOrders
 }
 
 // Orders returns the number of orders that reached an endpoint.
@@ -278,45 +275,45 @@
 	return f.ordersSeen
 }
 
-// Reports returns the number of reports that endpoints gave.
+// Reports returns the number of reports that endpoints returned.
 func (f *Fleet) Reports() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reports
 }
 
-// Open returns the open groups whose members are all there, by model.
+// Open returns the number of complete open groups by model.
 func (f *Fleet) Open() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]int{}
 	for _, e := range f.endpoints {
-		if e.group.State == serving.MemberOpen && !e.gone && f.complete(e) {
-			out[e.last]++
+		if e.group.State == serving.MemberOpen && !e.terminated && f.complete(e) {
+			out[e.lastModel]++
 		}
 	}
 	return out
 }
 
-// Group returns an endpoint's place in its group.
+// Group returns an endpoint's group membership.
 func (f *Fleet) Group(id serving.EndpointID) serving.Membership {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.endpoints[id].group.Membership
 }
 
-// complete reports whether all members of a head's group are with it.
+// complete reports whether all members of a head's group are running and in the group.
 func (f *Fleet) complete(head *Endpoint) bool {
 	for _, id := range head.group.members {
 		e := f.endpoints[id]
-		if e == nil || e.gone || e.group.Group != head.group.Group || e.group.Epoch != head.group.Epoch {
+		if e == nil || e.terminated || e.group.Group != head.group.Group || e.group.Epoch != head.group.Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// write stores an endpoint's row; the caller holds the lock.
+// write stores an endpoint's row; f.mu must be held.
 func (f *Fleet) write(e *Endpoint) {
 	if e.unlisted {
 		return
@@ -327,30 +324,29 @@
 	f.commit(table.Change{Writes: []table.Row{{Table: f.endpointTable, Key: string(e.ID), Value: f.encode(row)}}})
 }
 
-// WriteAgain has every endpoint write its row, each at a moment of its own within a time, as
-// after the table came back from an older copy. Rows of those that are unlisted go.
+// WriteAgain makes every running endpoint rewrite its row at a random time within a period, as
+// after a restore of the table. The rows of unlisted endpoints are removed.
 func (f *Fleet) WriteAgain(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id := range f.endpoints {
-		time.AfterFunc(rand.N(within), func() { f.writeAgain(id) })
+		time.AfterFunc(rand.N(within), func() { f.rewriteRow(id) })
 	}
 }
 
-func (f *Fleet) writeAgain(id serving.EndpointID) {
+func (f *Fleet) rewriteRow(id serving.EndpointID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
 	switch {
 	case e.unlisted:
 		f.commit(table.Change{Removals: []table.Row{{Table: f.endpointTable, Key: string(id)}}})
-	case !e.gone:
+	case !e.terminated:
 		f.write(e)
 	}
 }
 
-// commit writes to the table as its own endpoints do, whatever the faults
-// that other callers see.
+// commit writes to the table regardless of its faults.
 func (f *Fleet) commit(c table.Change) { _ = f.table.Force(c) }
 
 // Report implements groupcontrol.Endpoints.
@@ -378,32 +374,32 @@
 func (f *Fleet) Order(ctx context.Context, _ string, id serving.EndpointID, o serving.Order) (bool, error) {
 	f.mu.Lock()
 	e := f.endpoints[id]
-	late := f.late()
+	delay := f.orderDelay()
 	if e == nil || e.unreachable {
 		f.mu.Unlock()
 		<-ctx.Done()
 		return false, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
 	}
-	if late > 0 {
+	if delay > 0 {
 		f.mu.Unlock()
-		time.AfterFunc(late, func() {
+		time.AfterFunc(delay, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			_, _ = f.take(e, o)
+			_, _ = f.handleOrder(e, o)
 		})
 		<-ctx.Done()
 		return false, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
 	}
 	defer f.mu.Unlock()
-	done, err := f.take(e, o)
+	done, err := f.handleOrder(e, o)
 	if err != nil {
-		f.refused++
+		f.rejectedOrders++
 	}
 	return done, err
 }
 
-// take carries an order out; the caller holds the lock.
-func (f *Fleet) take(e *Endpoint, o serving.Order) (bool, error) {
+// handleOrder executes an order; f.mu must be held.
+func (f *Fleet) handleOrder(e *Endpoint, o serving.Order) (bool, error) {
 	f.ordersSeen++
 	if o.Fence < e.fence {
 		return false, groupcontrol.ErrFenced
@@ -437,65 +433,64 @@
 		serving.Membership{Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, e.ID), State: serving.MemberJoining},
 		o.Members,
 	}
-	model := f.model[o.Model]
-	wait := rejoin
+	model := f.models[o.Model]
+	loadTime := rejoinTime
 	switch {
-	case e.last == o.Model:
+	case e.lastModel == o.Model:
 	case slices.Contains(e.Staged, o.Model):
-		wait = model.WarmTime
+		loadTime = model.WarmTime
 	default:
-		wait = model.LoadTime
+		loadTime = model.LoadTime
 		f.loads++
 		f.joinLoads++
 	}
 	f.write(e)
 	orders := e.orders
-	time.AfterFunc(wait, func() {
+	time.AfterFunc(loadTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if e.orders != orders || e.gone {
+		if e.orders != orders || e.terminated {
 			return
 		}
-		e.last, e.Model, e.Staged = o.Model, o.Model, []string{o.Model}
+		e.lastModel, e.Model, e.Staged = o.Model, o.Model, []string{o.Model}
 		e.group.State = serving.MemberReady
-		f.ready[readyKey{o.Group, o.Epoch, e.ID}] = true
+		f.everReady[memberKey{o.Group, o.Epoch, e.ID}] = true
 		f.write(e)
 	})
 	return false, nil
 }
 
-// checkEpoch notes an epoch that is given out twice: to two lists of members, or again to an
-// endpoint that was in a group of it in another incarnation or has left it.
+// checkEpoch records a violation if an epoch is assigned to two groups or member lists, or if a
+// former member of its group joins it again, also in another incarnation.
 func (f *Fleet) checkEpoch(e *Endpoint, o serving.Order) {
-	if known, ok := f.lists[o.Epoch]; ok && (known.group != o.Group || !slices.Equal(known.members, o.Members)) && known.domain == e.Domain {
-		f.broken = append(f.broken, fmt.Sprintf("epoch %d is of %s with %v and of %s with %v", o.Epoch, known.group, known.members, o.Group, o.Members))
+	if previous, ok := f.epochs[o.Epoch]; ok && (previous.group != o.Group || !slices.Equal(previous.members, o.Members)) && previous.domain == e.Domain {
+		f.violations = append(f.violations, fmt.Sprintf("epoch %d was assigned to %s with members %v and to %s with members %v", o.Epoch, previous.group, previous.members, o.Group, o.Members))
 	}
-	f.lists[o.Epoch] = formed{o.Group, e.Domain, o.Members}
-	if f.left[readyKey{o.Group, o.Epoch, e.ID}] {
-		f.broken = append(f.broken, fmt.Sprintf("%s joined %s of epoch %d again", e.ID, o.Group, o.Epoch))
+	f.epochs[o.Epoch] = epochGroup{o.Group, e.Domain, o.Members}
+	if f.formerMembers[memberKey{o.Group, o.Epoch, e.ID}] {
+		f.violations = append(f.violations, fmt.Sprintf("%s joined %s of epoch %d a second time", e.ID, o.Group, o.Epoch))
 	}
 	if e.group.Group != "" && (e.group.Group != o.Group || e.group.Epoch != o.Epoch) {
-		f.leaves(e)
+		f.recordLeave(e)
 	}
 }
 
-// leaves notes that an endpoint is in its group no more.
-func (f *Fleet) leaves(e *Endpoint) {
+func (f *Fleet) recordLeave(e *Endpoint) {
 	if e.group.Group != "" {
-		f.left[readyKey{e.group.Group, e.group.Epoch, e.ID}] = true
+		f.formerMembers[memberKey{e.group.Group, e.group.Epoch, e.ID}] = true
 	}
 }
 
-// checkJoin notes an endpoint that joins while the group that it has not
-// left is open.
+// checkJoin records a violation if an endpoint joins another group while its current one is
+// open.
 func (f *Fleet) checkJoin(e *Endpoint, o serving.Order) {
 	if e.group.Group == "" || e.group.Group == o.Group && e.group.Epoch == o.Epoch {
 		return
 	}
 	head := f.endpoints[e.group.members[0]]
-	stands := head != nil && !head.gone && head.group.Group == e.group.Group && head.group.Epoch == e.group.Epoch
-	if stands && (head.group.State == serving.MemberOpen || head.group.State == serving.MemberClosing) {
-		f.broken = append(f.broken, fmt.Sprintf("%s joined %s while %s, which it had not left, was open", e.ID, o.Group, e.group.Group))
+	current := head != nil && !head.terminated && head.group.Group == e.group.Group && head.group.Epoch == e.group.Epoch
+	if current && (head.group.State == serving.MemberOpen || head.group.State == serving.MemberClosing) {
+		f.violations = append(f.violations, fmt.Sprintf("%s joined %s while still a member of the open group %s", e.ID, o.Group, e.group.Group))
 	}
 }
 
@@ -510,19 +505,19 @@
 		return false, groupcontrol.ErrRefused
 	}
 	for _, id := range e.group.members {
-		if !f.ready[readyKey{o.Group, o.Epoch, id}] {
-			f.broken = append(f.broken, fmt.Sprintf("%s opened while %s had never been ready in it", o.Group, id))
+		if !f.everReady[memberKey{o.Group, o.Epoch, id}] {
+			f.violations = append(f.violations, fmt.Sprintf("%s opened before member %s was ready", o.Group, id))
 		}
 	}
-	if len(e.group.members) != f.model[e.last].Size {
-		f.broken = append(f.broken, o.Group+" opened with a wrong number of members")
+	if len(e.group.members) != f.models[e.lastModel].Size {
+		f.violations = append(f.violations, o.Group+" opened with the wrong number of members")
 	}
 	e.orders++
 	orders := e.orders
-	time.AfterFunc(formation, func() {
+	time.AfterFunc(openTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if e.orders == orders && !e.gone {
+		if e.orders == orders && !e.terminated {
 			e.group.State = serving.MemberOpen
 			f.write(e)
 		}
@@ -535,10 +530,10 @@
 		return false, groupcontrol.ErrRefused
 	}
 	e.orders++
-	f.leaves(e)
+	f.recordLeave(e)
 	e.group = member{}
 	f.write(e)
-	// It takes effect at once, which the platform's endpoints answer as done.
+	// A leave takes effect at once, which the platform's endpoints answer as done.
 	return true, nil
 }
 
@@ -548,10 +543,10 @@
 	}
 	e.orders++
 	f.loads++
-	time.AfterFunc(f.model[o.Model].LoadTime, func() {
+	time.AfterFunc(f.models[o.Model].LoadTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !e.gone {
+		if !e.terminated {
 			e.Staged = []string{o.Model}
 			f.write(e)
 		}
--- a/internal/standin/limitlog/limitlog.go
+++ b/internal/standin/limitlog/limitlog.go
@@ -1,6 +1,5 @@
-// Package limitlog records what reached endpoints that limit how much they take, as the
-// endpoints see it, and holds that against their limits: for tests and for the emulated
-// platform.
+// Package limitlog records the requests that reached endpoints with a rate limit and compares
+// them with the limits, for tests and the emulated platform.
 package limitlog
 
 import (
@@ -10,8 +9,8 @@
 	"time"
 )
 
-// Bound is how many requests may reach an endpoint in any window once Grace has passed since
-// it first named its limit: Factor times what the limit allows, and Slack.
+// Bound allows Factor times the endpoint's limit plus Slack requests in any window that starts
+// at least Grace after the endpoint first advertised the limit.
 type Bound struct {
 	Factor float64
 	Slack  float64
@@ -19,25 +18,25 @@
 	Grace  time.Duration
 }
 
-// Log is what endpoints saw. It is safe for concurrent use.
+// Log holds the limits and arrivals of endpoints. It is safe for concurrent use.
 type Log struct {
 	mu        sync.Mutex
 	endpoints map[string]*history
 }
 
-// history is what one endpoint named and took.
+// history holds the limits and arrivals of one endpoint.
 type history struct {
 	periods  []period
 	arrivals []time.Time
 }
 
-// period is a time in which an endpoint had a limit.
+// period is a span of time during which an endpoint had a limit.
 type period struct {
 	from time.Time
-	// until is zero while it lasts.
+	// until is zero while the period lasts.
 	until time.Time
-	// most is the highest limit of the period, in requests a second.
-	most float64
+	// maxPerSecond is the highest limit during the period, in requests per second.
+	maxPerSecond float64
 }
 
 // New returns an empty log.
@@ -52,8 +51,8 @@
 	return h
 }
 
-// Named notes that an endpoint names a limit from now on, in requests a second; zero or
-// less ends it.
+// Named records that an endpoint advertises a limit from now on, in requests per second; zero
+// or less ends the limit.
 func (l *Log) Named(endpoint string, perSecond float64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,13 +63,13 @@
 		h.periods[len(h.periods)-1].until = at
 	case perSecond > 0 && open:
 		last := &h.periods[len(h.periods)-1]
-		last.most = max(last.most, perSecond)
+		last.maxPerSecond = max(last.maxPerSecond, perSecond)
 	case perSecond > 0:
-		h.periods = append(h.periods, period{from: at, most: perSecond})
+		h.periods = append(h.periods, period{from: at, maxPerSecond: perSecond})
 	}
 }
 
-// Arrived notes that a request has reached an endpoint.
+// Arrived records that a request has reached an endpoint.
 func (l *Log) Arrived(endpoint string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +77,7 @@
 	h.arrivals = append(h.arrivals, at)
 }
 
-// Limits returns how many times an endpoint began to name a limit.
+// Limits returns the number of periods with a limit, over all endpoints.
 func (l *Log) Limits() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,8 +88,8 @@
 	return n
 }
 
-// Check returns an error for an endpoint that got more in some window than its limit allows.
-// Only windows count in which nothing was amiss: calm tells that of a moment.
+// Check returns an error for an endpoint that got more requests in a window than the bound
+// allows. Only windows count that start at a time for which calm returns true.
 func (l *Log) Check(b Bound, calm func(at time.Time) bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,9 +104,9 @@
 	return nil
 }
 
-// check looks at the windows that begin with each arrival of a period.
+// check tests the windows that start at each arrival of a period.
 func (h *history) check(endpoint string, p period, b Bound, calm func(at time.Time) bool) error {
-	allowed := b.Factor*p.most*b.Window.Seconds() + b.Slack
+	allowed := b.Factor*p.maxPerSecond*b.Window.Seconds() + b.Slack
 	for i, from := range h.arrivals {
 		if from.Before(p.from.Add(b.Grace)) || !calm(from) {
 			continue
@@ -123,7 +122,7 @@
 			}
 		}
 		if float64(got) > allowed {
-			return fmt.Errorf("endpoint %s, which takes %v a second, got %d requests in %s; allowed %.0f", endpoint, p.most, got, b.Window, allowed)
+			return fmt.Errorf("endpoint %s with a limit of %v requests a second got %d requests in %s; allowed %.0f", endpoint, p.maxPerSecond, got, b.Window, allowed)
 		}
 	}
 	return nil
--- a/internal/standin/limitlog/limitlog_test.go
+++ b/internal/standin/limitlog/limitlog_test.go
@@ -13,13 +13,13 @@
 
 func always(time.Time) bool { return true }
 
-func TestWhatAnEndpointGetsIsHeldAgainstItsLimit(t *testing.T) {
+func TestCheck_ComparesArrivalsWithLimit(t *testing.T) {
 	began := time.Now()
 	tests := map[string]struct {
-		// every is the time between two arrivals from second 1 to 20.
+		// every is the interval between arrivals from second 1 to 20.
 		every time.Duration
 		limit float64
-		// until is when the limit ends, zero for never.
+		// until is when the limit ends; zero means never.
 		until  time.Duration
 		calm   func(time.Time) bool
 		broken bool
@@ -27,9 +27,9 @@
 		"within the limit":                  {every: time.Second, limit: 1},
 		"at the bound":                      {every: 4*time.Second/11 + time.Millisecond, limit: 1},
 		"beyond the bound":                  {every: 4 * time.Second / 14, limit: 1, broken: true},
-		"beyond it before the grace passed": {every: 100 * time.Millisecond, limit: 1, until: 2900 * time.Millisecond},
-		"beyond it after the grace":         {every: 100 * time.Millisecond, limit: 1, until: 6 * time.Second, broken: true},
-		"while something was amiss":         {every: 100 * time.Millisecond, limit: 1, calm: func(time.Time) bool { return false }},
+		"beyond the bound within the grace": {every: 100 * time.Millisecond, limit: 1, until: 2900 * time.Millisecond},
+		"beyond the bound after the grace":  {every: 100 * time.Millisecond, limit: 1, until: 6 * time.Second, broken: true},
+		"while not calm":                    {every: 100 * time.Millisecond, limit: 1, calm: func(time.Time) bool { return false }},
 		"without a limit":                   {every: 10 * time.Millisecond},
 	}
 	for name, test := range tests {
--- a/internal/standin/memtable/memtable.go
+++ b/internal/standin/memtable/memtable.go
@@ -1,5 +1,5 @@
-// Package memtable is a transactional table in memory, with the faults that a
-// real one has: for tests and for small wholes on one machine.
+// Package memtable implements table.Store in memory with switchable faults, for tests and for
+// small clusters on one machine.
 package memtable
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/ridgehinge/ridgehinge/internal/table"
 )
 
-// Faults can be switched while the table is in use.
+// Faults are the injected faults; they can be changed while the table is in use.
 type Faults struct {
-	// Down refuses every call.
+	// Down rejects every call.
 	Down bool
-	// Silent lets every call run into its time limit.
+	// Silent leaves every call unanswered until its context is done.
 	Silent bool
-	// LoseAnswers carries writes out and does not answer them.
+	// LoseAnswers applies writes without answering them.
 	LoseAnswers bool
-	// Late carries an unanswered write out after this time, if its condition
-	// holds then.
+	// Late applies a write after this delay, if its conditions hold then, without answering
+	// it. 0 applies writes at once.
 	Late time.Duration
 }
 
@@ -35,10 +35,10 @@
 	mu      sync.Mutex
 	rows    map[rowID]table.Row
 	history []table.Row
-	// forgotten is the newest version whose history is gone.
-	forgotten uint64
-	version   uint64
-	// era counts how often an older copy took the table's place.
+	// compactedTo is the newest version whose history has been discarded.
+	compactedTo uint64
+	version     uint64
+	// era counts the restores from an older copy.
 	era     uint64
 	faults  Faults
 	changed chan struct{}
@@ -51,70 +51,70 @@
 	return &Table{rows: map[rowID]table.Row{}, changed: make(chan struct{}), reads: map[string]int{}}
 }
 
-// SetFaults switches the faults.
+// SetFaults replaces the injected faults.
 func (t *Table) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the total number of calls.
 func (t *Table) Calls() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.calls
 }
 
-// Reads returns how often a table was read.
+// Reads returns the number of successful Read calls for a table.
 func (t *Table) Reads(name string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reads[name]
 }
 
-// ForgetHistory has watches from older versions begin again.
+// ForgetHistory discards the history, so that watches from older versions must resync.
 func (t *Table) ForgetHistory() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.history = nil
-	t.forgotten = t.version
+	t.compactedTo = t.version
 }
 
-// Copy is the table as it was at a moment.
+// Copy is a snapshot of the table.
 type Copy struct {
 	rows    map[rowID]table.Row
 	version uint64
 }
 
-// Copy copies the table.
+// Copy takes a snapshot of the table.
 func (t *Table) Copy() Copy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Copy{maps.Clone(t.rows), t.version}
 }
 
-// Restore has an older copy take the table's place: what was written since is gone, and its
-// versions are given out again.
+// Restore replaces the table by an older copy: later writes are lost, and their versions are
+// assigned again.
 func (t *Table) Restore(c Copy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows, t.version = maps.Clone(c.rows), c.version
 	t.history = slices.DeleteFunc(t.history, func(r table.Row) bool { return r.Version > c.version })
-	t.forgotten = min(t.forgotten, c.version)
+	t.compactedTo = min(t.compactedTo, c.version)
 	t.era++
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Era returns how often an older copy took the table's place. Versions are those of the
-// present one: whoever serves the table tells the era beside them.
+// Era returns the number of restores. Versions are only comparable within an era, so a server
+// of the table must send the era along with them.
 func (t *Table) Era() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.era
 }
 
-// begin counts a call and applies the faults that come before it.
+// begin counts a call and applies Down and Silent.
 func (t *Table) begin(ctx context.Context) error {
 	t.mu.Lock()
 	t.calls++
@@ -156,7 +156,7 @@
 	until := time.NewTimer(wait)
 	defer until.Stop()
 	for {
-		page, changed, err := t.since(name, since)
+		page, changed, err := t.changesSince(name, since)
 		if err != nil || len(page.Rows) > 0 || wait <= 0 {
 			return page, err
 		}
@@ -170,10 +170,10 @@
 	}
 }
 
-func (t *Table) since(name string, since uint64) (table.Page, <-chan struct{}, error) {
+func (t *Table) changesSince(name string, since uint64) (table.Page, <-chan struct{}, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if since < t.forgotten || since > t.version {
+	if since < t.compactedTo || since > t.version {
 		return table.Page{}, nil, table.ErrHistoryGone
 	}
 	page := table.Page{Version: t.version}
@@ -232,8 +232,8 @@
 
 func idOf(r table.Row) rowID { return rowID{r.Table, r.Partition, r.Key} }
 
-// Force carries a change out whatever the faults are, as for a writer that
-// they do not strike.
+// Force applies a change regardless of the faults, as for a writer that is not affected by
+// them.
 func (t *Table) Force(c table.Change) error {
 	_, err := t.apply(c)
 	return err
--- a/internal/standin/platformstandin/platformstandin.go
+++ b/internal/standin/platformstandin/platformstandin.go
@@ -1,8 +1,8 @@
-// Package platformstandin plays the platform's table and instance list in
-// memory, for `ridgehinged dev` and for tests.
+// Package platformstandin is an in-memory stand-in for the platform's table and instance list,
+// for `ridgehinged dev` and for tests.
 //
-// Its faults can be switched: down, slow, an answer lost after the write took
-// effect, and a limit on writes and reads a second.
+// It can inject faults: unavailability, latency, responses lost after a commit, and limits on
+// writes and reads per second.
 package platformstandin
 
 import (
@@ -17,35 +17,35 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Faults is what is wrong with the stand-in now.
+// Faults are the injected faults.
 type Faults struct {
-	// Down makes every call fail before it takes effect.
+	// Down fails every call before it takes effect.
 	Down bool `json:"down"`
-	// LoseAnswers makes this many commits take effect and then fail.
+	// LoseAnswers is the number of commits that fail after taking effect.
 	LoseAnswers int `json:"lose_answers"`
 	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
-	// WritesPerSecond and ReadsPerSecond limit the calls; 0 is no limit.
+	// WritesPerSecond and ReadsPerSecond limit the calls; 0 means unlimited.
 	WritesPerSecond int `json:"writes_per_second"`
 	ReadsPerSecond  int `json:"reads_per_second"`
 }
 
-// Server is the stand-in. Its zero value is not ready; call New.
+// Server is the stand-in. Use New to create one.
 type Server struct {
 	mu        sync.Mutex
 	rows      map[string]platform.Row
 	version   uint64
 	instances map[fleet.InstanceID]fleet.Instance
 	// listed is the version of the instance list.
-	listed uint64
-	faults Faults
-	second int64
-	writes int
-	reads  int
-	total  Counts
+	listVersion   uint64
+	faults        Faults
+	currentSecond int64
+	writes        int
+	reads         int
+	total         Counts
 }
 
-// Counts is how many calls the stand-in has served.
+// Counts holds the numbers of calls received.
 type Counts struct {
 	Commits int `json:"commits"`
 	Reads   int `json:"reads"`
@@ -53,24 +53,24 @@
 
 // New returns an empty stand-in.
 func New() *Server {
-	return &Server{rows: map[string]platform.Row{}, instances: map[fleet.InstanceID]fleet.Instance{}, listed: 1}
+	return &Server{rows: map[string]platform.Row{}, instances: map[fleet.InstanceID]fleet.Instance{}, listVersion: 1}
 }
 
-// SetFaults switches the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Counts returns the number of calls served.
+// Counts returns the numbers of calls received.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Rows returns a copy of the rows with a prefix, by key.
+// Rows returns a copy of the rows with a prefix, sorted by key.
 func (s *Server) Rows(prefix string) []platform.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,19 +82,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances[in.ID] = in
-	s.listed++
+	s.listVersion++
 }
 
-// RemoveInstance takes an instance off the list.
+// RemoveInstance removes an instance from the list.
 func (s *Server) RemoveInstance(id fleet.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.instances, id)
-	s.listed++
+	s.listVersion++
 }
 
-// Handler returns the stand-in's HTTP interface, with the switches under
-// /standin/ for when it runs as a process of its own.
+// Handler returns the stand-in's HTTP interface, including the controls under /standin/ for
+// when it runs as a separate process.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+platform.PathGet, s.read(s.handleGet))
@@ -120,8 +120,9 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// enter applies the faults that come before a call's effect.
-func (s *Server) enter(w http.ResponseWriter, write bool) bool {
+// admit applies the faults that precede a call's effect and reports whether to execute the
+// call.
+func (s *Server) admit(w http.ResponseWriter, write bool) bool {
 	s.mu.Lock()
 	faults := s.faults
 	over := s.overLimit(write)
@@ -130,19 +131,19 @@
 		time.Sleep(faults.Delay)
 	}
 	if faults.Down {
-		http.Error(w, "down", http.StatusServiceUnavailable)
+		http.Error(w, "unavailable", http.StatusServiceUnavailable)
 		return false
 	}
 	if over {
-		http.Error(w, "too many calls", http.StatusTooManyRequests)
+		http.Error(w, "call rate exceeded", http.StatusTooManyRequests)
 		return false
 	}
 	return true
 }
 
 func (s *Server) overLimit(write bool) bool {
-	if now := time.Now().Unix(); now != s.second {
-		s.second, s.writes, s.reads = now, 0, 0
+	if now := time.Now().Unix(); now != s.currentSecond {
+		s.currentSecond, s.writes, s.reads = now, 0, 0
 	}
 	if write {
 		s.writes++
@@ -156,7 +157,7 @@
 
 func (s *Server) read(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if s.enter(w, false) {
+		if s.admit(w, false) {
 			next(w, r)
 		}
 	}
@@ -208,10 +209,10 @@
 		return
 	}
 	s.mu.Lock()
-	response := platform.InstancesResponse{Version: s.listed}
+	response := platform.InstancesResponse{Version: s.listVersion}
 	for _, in := range s.instances {
 		wanted := request.DataCentre == "" || in.DataCentre == request.DataCentre || in.Kind == fleet.KindEntry
-		if request.Version == s.listed || !wanted {
+		if request.Version == s.listVersion || !wanted {
 			continue
 		}
 		response.Instances = append(response.Instances, in)
@@ -225,7 +226,7 @@
 
 func (s *Server) handleCommit(w http.ResponseWriter, r *http.Request) {
 	var request platform.CommitRequest
-	if !decode(w, r, &request) || !s.enter(w, true) {
+	if !decode(w, r, &request) || !s.admit(w, true) {
 		return
 	}
 	s.mu.Lock()
@@ -236,7 +237,7 @@
 	}
 	s.mu.Unlock()
 	if lose {
-		http.Error(w, "the answer was lost", http.StatusGatewayTimeout)
+		http.Error(w, "response lost after commit", http.StatusGatewayTimeout)
 		return
 	}
 	encode(w, response)
