--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,6 @@
-// Package soak holds the long randomised runs over the pure state machines.
+// Package soak contains randomised fault-injection tests of the pure state machines.
 //
-// The runs drive membership, lease, placement and ledger together, as a
-// daemon does, against a table and endpoints in memory, and bring about
-// kills, freezes, cuts, lost answers, late and doubled orders. All of it
-// lives in test files; see `make soak`.
+// They drive membership, lease, placement and ledger together, as a daemon does, against an
+// in-memory table and endpoints with crashes, freezes, isolated nodes, lost responses, and
+// delayed and duplicated orders. All code is in test files; see `make soak`.
 package soak
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -18,7 +18,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/ledger"
 )
 
-// fixedSeed makes each run of CI the same; `make soak` takes others.
+// fixedSeed makes runs of CI reproducible; `make soak` uses other seeds.
 const fixedSeed = "20261202"
 
 func TestMain(m *testing.M) {
@@ -31,9 +31,9 @@
 	os.Exit(m.Run())
 }
 
-// check asserts the invariants; the first violation is kept.
+// check checks the invariants and records the first violation.
 func (w *world) check() {
-	if w.broken != "" {
+	if w.violation != "" {
 		return
 	}
 	w.checkTable()
@@ -45,16 +45,15 @@
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("step %d: ", w.steps) + fmt.Sprintf(format, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("step %d: ", w.steps) + fmt.Sprintf(format, args...)
 	}
 }
 
-// checkTable: no instance is in two groups, and the owner rows say the same
-// as the groups.
+// checkTable checks that no instance is in two groups and that the owner rows match the groups.
 func (w *world) checkTable() {
 	owner := map[fleet.InstanceID]fleet.GroupID{}
-	for _, r := range w.scan(ledger.GroupPrefix(dc)) {
+	for _, r := range w.scan(ledger.GroupPrefix(dataCentre)) {
 		var g fleet.Group
 		_ = json.Unmarshal(r.Value, &g)
 		if g.Deleted {
@@ -67,21 +66,21 @@
 			owner[m.Instance] = g.ID
 		}
 	}
-	for _, r := range w.scan(ledger.OwnerPrefix(dc)) {
+	for _, r := range w.scan(ledger.OwnerPrefix(dataCentre)) {
 		var o ledger.Owner
 		_ = json.Unmarshal(r.Value, &o)
-		id := fleet.InstanceID(r.Key[len(ledger.OwnerPrefix(dc)):])
+		id := fleet.InstanceID(r.Key[len(ledger.OwnerPrefix(dataCentre)):])
 		if o.Group != owner[id] {
-			w.fail("the owner row of %s says %q, the groups say %q", id, o.Group, owner[id])
+			w.fail("the owner row of %s has group %q, but the groups list it in %q", id, o.Group, owner[id])
 		}
 	}
 }
 
-// checkNode: a node's groups never go back, and no group serves there whose
-// member has been away for longer than evidence may last.
+// checkNode checks that a node's group revision never decreases and that the node serves no
+// group with a member that has been unavailable for longer than VouchTTL.
 func (w *world) checkNode(n *node) {
 	if n.groups.Revision() < n.lastRevision {
-		w.fail("%s went back from revision %d to %d", n.id, n.lastRevision, n.groups.Revision())
+		w.fail("the group revision of %s decreased from %d to %d", n.id, n.lastRevision, n.groups.Revision())
 	}
 	n.lastRevision = n.groups.Revision()
 	for _, g := range n.groups.All() {
@@ -90,9 +89,9 @@
 		}
 		for _, m := range g.Members {
 			e := w.endpoint(m.Instance)
-			away := !e.badSince.IsZero() && w.now.Sub(e.badSince) > n.options.VouchTTL
-			if away || e.report.Incarnation != m.Incarnation && e.badSince.IsZero() && w.sinceStart(e) > n.options.VouchTTL {
-				w.fail("%s serves %s, whose member %s has been away since %s", n.id, g.ID, m.Instance, e.badSince)
+			unavailable := !e.unavailableSince.IsZero() && w.now.Sub(e.unavailableSince) > n.options.VouchTTL
+			if unavailable || e.report.Incarnation != m.Incarnation && e.unavailableSince.IsZero() && w.sinceStart(e) > n.options.VouchTTL {
+				w.fail("%s serves %s, whose member %s has been unavailable since %s", n.id, g.ID, m.Instance, e.unavailableSince)
 			}
 		}
 	}
@@ -114,22 +113,23 @@
 
 func (w *world) endpoint(id fleet.InstanceID) *endpoint {
 	for _, e := range w.endpoints {
-		if e.in.ID == id {
+		if e.instance.ID == id {
 			return e
 		}
 	}
 	return nil
 }
 
-// faults are the commands of the randomised runs.
+// faults returns the injectable faults and their repairs by name. Which fault a seed draws
+// depends on the order of the names.
 func (w *world) faults() map[string]func(int) {
 	pickNode := func(i int) *node { return w.nodes[i%len(w.nodes)] }
 	pickEndpoint := func(i int) *endpoint { return w.endpoints[i%len(w.endpoints)] }
 	return map[string]func(int){
 		"kill endpoint": func(i int) {
 			e := pickEndpoint(i)
-			if e.badSince.IsZero() {
-				e.badSince = w.now
+			if e.unavailableSince.IsZero() {
+				e.unavailableSince = w.now
 			}
 			e.alive = false
 		},
@@ -137,13 +137,13 @@
 		"freeze endpoint": func(i int) {
 			if e := pickEndpoint(i); e.alive && !e.frozen {
 				e.frozen = true
-				e.badSince = w.now
+				e.unavailableSince = w.now
 			}
 		},
 		"thaw endpoint": func(i int) {
 			if e := pickEndpoint(i); e.alive && e.frozen {
 				e.frozen = false
-				e.badSince = time.Time{}
+				e.unavailableSince = time.Time{}
 				for _, f := range e.inbox {
 					f(e)
 				}
@@ -153,19 +153,19 @@
 		"kill node":    func(i int) { pickNode(i).alive = false },
 		"restart node": func(i int) { pickNode(i).start() },
 		"freeze node":  func(i int) { pickNode(i).frozen = true },
-		"thaw node":    func(i int) { w.thaw(pickNode(i)) },
-		"cut node":     func(i int) { pickNode(i).cut = true },
-		"heal node":    func(i int) { pickNode(i).cut = false },
-		"table down":   func(int) { w.down = true },
-		"table up":     func(int) { w.down = false },
-		"lose answers": func(i int) { w.loseRate = float64(i%4) / 4 },
-		"want":         func(i int) { w.want = i % 4 },
+		"thaw node":    func(i int) { w.thawNode(pickNode(i)) },
+		"cut node":     func(i int) { pickNode(i).isolated = true },
+		"heal node":    func(i int) { pickNode(i).isolated = false },
+		"table down":   func(int) { w.tableDown = true },
+		"table up":     func(int) { w.tableDown = false },
+		"lose answers": func(i int) { w.loseAnswerRate = float64(i%4) / 4 },
+		"want":         func(i int) { w.wantedGroups = i % 4 },
 	}
 }
 
-// thaw lets a frozen node go on: it first handles what piled up, with all it
-// believed when it was frozen.
-func (w *world) thaw(n *node) {
+// thawNode resumes a frozen node, which first handles the queued messages with the state that
+// it had when it was frozen.
+func (w *world) thawNode(n *node) {
 	if !n.alive || !n.frozen {
 		return
 	}
@@ -176,12 +176,12 @@
 	n.inbox = nil
 }
 
-// heal ends all faults and lets the world come to rest.
-func (w *world) heal(want int) {
-	w.down, w.loseRate, w.want = false, 0, want
+// heal removes all faults and runs until the nodes have converged.
+func (w *world) heal(wantedGroups int) {
+	w.tableDown, w.loseAnswerRate, w.wantedGroups = false, 0, wantedGroups
 	for _, n := range w.nodes {
-		n.cut = false
-		w.thaw(n)
+		n.isolated = false
+		w.thawNode(n)
 		if !n.alive {
 			n.start()
 		}
@@ -208,8 +208,8 @@
 	return -1
 }
 
-// rested reports whether every node serves so many groups.
-func (w *world) rested(groups int) error {
+// checkGroupsServed returns an error unless every node serves the given number of groups.
+func (w *world) checkGroupsServed(groups int) error {
 	for _, n := range w.nodes {
 		serving := 0
 		for _, g := range n.groups.All() {
@@ -218,21 +218,21 @@
 			}
 		}
 		if serving != groups {
-			return fmt.Errorf("%s serves %d groups, %d are wanted", n.id, serving, groups)
+			return fmt.Errorf("%s serves %d groups instead of %d", n.id, serving, groups)
 		}
 	}
 	return nil
 }
 
-// run is one randomised run; it ends healed and at rest.
+// run executes one randomised run and checks that it converges once the faults are removed.
 func run(t *rapid.T, mutate mutation) *world {
 	seed := rapid.Uint64().Draw(t, "seed")
 	w := newWorld(rand.New(rand.NewPCG(seed, 1)), 3, 10, 2)
 	w.mutate = mutate
 	actions := map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			if w.broken != "" {
-				t.Fatal(w.broken)
+			if w.violation != "" {
+				t.Fatal(w.violation)
 			}
 		},
 		"pass": func(t *rapid.T) {
@@ -249,10 +249,10 @@
 	}
 	t.Repeat(actions)
 	w.heal(2)
-	if w.broken != "" {
-		t.Fatal(w.broken)
+	if w.violation != "" {
+		t.Fatal(w.violation)
 	}
-	if err := w.rested(2); err != nil {
+	if err := w.checkGroupsServed(2); err != nil {
 		t.Fatal(err)
 	}
 	return w
@@ -260,24 +260,24 @@
 
 func TestRandomFaults(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.checks", "40"))
-	rapid.Check(t, func(t *rapid.T) { run(t, mutateNothing) })
+	rapid.Check(t, func(t *rapid.T) { run(t, mutateNone) })
 }
 
-// With a mechanism taken out, the same runs find the violation: the checks
-// can fail.
-func TestRandomFaultsFindMutations(t *testing.T) {
+// Guards against checks that cannot fail: with a safety mechanism disabled, random runs must
+// find a violation.
+func TestRandomFaults_FindMutations(t *testing.T) {
 	for name, mutate := range map[string]mutation{
-		"no conditions":        mutateNoConditions,
-		"evidence by arrival":  mutateNoEcho,
-		"poll dated by answer": mutateArrivalDate,
+		"no conditions":                  mutateNoConditions,
+		"peer evidence dated by arrival": mutateNoEcho,
+		"poll dated by response":         mutateArrivalDate,
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.NotEmpty(t, firstViolation(mutate), "no run found that the mechanism is missing")
+			require.NotEmpty(t, firstViolation(mutate), "no run detected the disabled mechanism")
 		})
 	}
 }
 
-// firstViolation runs plain random faults until an invariant breaks.
+// firstViolation injects random faults until an invariant is violated.
 func firstViolation(mutate mutation) string {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -290,15 +290,15 @@
 			for range random.IntN(30) {
 				w.step()
 			}
-			if w.broken != "" {
-				return w.broken
+			if w.violation != "" {
+				return w.violation
 			}
 		}
 	}
 	return ""
 }
 
-// TestSoak runs for SOAK_MINUTES from SOAK_SEED on; see `make soak`.
+// TestSoak runs for SOAK_MINUTES with seeds from SOAK_SEED upwards; see `make soak`.
 func TestSoak(t *testing.T) {
 	minutes, _ := strconv.ParseFloat(os.Getenv("SOAK_MINUTES"), 64)
 	if minutes == 0 {
@@ -311,13 +311,13 @@
 	for ; time.Now().Before(end); seed++ {
 		require.NoError(t, flag.Set("rapid.seed", strconv.FormatUint(seed, 10)))
 		rapid.Check(t, func(t *rapid.T) {
-			w := run(t, mutateNothing)
+			w := run(t, mutateNone)
 			runs++
 			steps += w.steps
 			commits += w.commits
 		})
 	}
-	t.Logf("seeds up to %d: %d runs, %d steps of %s, %d commits, no violation", seed-1, runs, steps, tickStep, commits)
+	t.Logf("seeds up to %d: %d runs, %d steps of %s, %d commits, no violation", seed-1, runs, steps, stepDuration, commits)
 }
 
 func sortedNames(faults map[string]func(int)) []string {
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -16,61 +16,60 @@
 )
 
 const (
-	dc       = fleet.DataCentre("dc")
-	tickStep = 100 * time.Millisecond
-	leaseTTL = 4 * time.Second
-	groupLen = 4
+	dataCentre   = fleet.DataCentre("dc")
+	stepDuration = 100 * time.Millisecond
+	leaseTTL     = 4 * time.Second
+	groupSize    = 4
 )
 
-var epochStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// endpoint is one model engine, with the truth about it.
+// endpoint is a simulated model engine with its actual state.
 type endpoint struct {
-	in     fleet.Instance
-	alive  bool
-	frozen bool
-	report fleet.Report
-	fence  fleet.Fence
-	loadBy time.Time
-	loads  string
-	// inbox has orders and polls that wait for it, oldest first.
+	instance fleet.Instance
+	alive    bool
+	frozen   bool
+	report   fleet.Report
+	fence    fleet.Fence
+	loadedAt time.Time
+	loading  string
+	// inbox queues orders and polls while the endpoint is frozen.
 	inbox []func(*endpoint)
-	// badSince is since when it has not been an answering process of its
-	// present incarnation; zero while it is.
-	badSince time.Time
+	// unavailableSince is when the endpoint crashed or froze; zero while it is running.
+	unavailableSince time.Time
 }
 
-// message is something under way, delivered at its time.
+// message is an in-flight message.
 type message struct {
 	at      time.Time
 	deliver func()
 }
 
-// node is one entry instance made of the pure parts.
+// node is a simulated entry instance built from the pure state machines.
 type node struct {
-	w       *world
-	id      membership.NodeID
-	alive   bool
-	frozen  bool
-	cut     bool
-	options membership.Options
-	tracker *membership.Tracker
-	lease   *lease.Machine
-	planner *placement.Planner
-	ledger  *ledger.Ledger
-	groups  *fleet.Groups
-	epoch   uint64
-	// epochVersion is the epoch row's version as read or written last.
+	w        *world
+	id       membership.NodeID
+	alive    bool
+	frozen   bool
+	isolated bool
+	options  membership.Options
+	tracker  *membership.Tracker
+	lease    *lease.Machine
+	planner  *placement.Planner
+	ledger   *ledger.Ledger
+	groups   *fleet.Groups
+	epoch    uint64
+	// epochVersion is the version of the epoch row as last read or written.
 	epochVersion uint64
 	busy         bool
 	queue        []placement.Action
-	polled       map[fleet.InstanceID]time.Time
-	beaten       map[membership.NodeID]time.Time
-	ordered      map[fleet.InstanceID]time.Time
+	lastPoll     map[fleet.InstanceID]time.Time
+	lastExchange map[membership.NodeID]time.Time
+	lastOrder    map[fleet.InstanceID]time.Time
 	nextHead     time.Time
 	nextPlan     time.Time
 	lastRevision uint64
-	// inbox waits while the node is frozen.
+	// inbox queues messages while the node is frozen.
 	inbox []func()
 }
 
@@ -79,44 +78,45 @@
 	value   json.RawMessage
 }
 
-// world is all of it; everything random comes from its source.
+// world is a simulated data centre with its table, nodes and endpoints. All randomness comes
+// from its random source.
 type world struct {
-	random    *rand.Rand
-	now       time.Time
-	rows      map[string]row
-	version   uint64
-	down      bool
-	loseRate  float64
-	endpoints []*endpoint
-	nodes     []*node
-	flying    []message
-	want      int
-	steps     int
-	commits   int
-	broken    string
-	// mutate switches single mechanisms off, to show that the run finds it.
+	random         *rand.Rand
+	now            time.Time
+	rows           map[string]row
+	version        uint64
+	tableDown      bool
+	loseAnswerRate float64
+	endpoints      []*endpoint
+	nodes          []*node
+	inFlight       []message
+	wantedGroups   int
+	steps          int
+	commits        int
+	violation      string
+	// mutate disables a safety mechanism.
 	mutate mutation
 }
 
-// mutation is a mechanism that is taken out.
+// mutation is a disabled safety mechanism.
 type mutation uint8
 
 const (
-	mutateNothing mutation = iota
-	// mutateNoConditions commits without checking any row.
+	mutateNone mutation = iota
+	// mutateNoConditions commits without checking the conditions.
 	mutateNoConditions
-	// mutateNoEcho dates a peer's evidence by its arrival.
+	// mutateNoEcho dates a peer's evidence by its arrival instead of the echoed time.
 	mutateNoEcho
-	// mutateArrivalDate dates an own poll by its answer.
+	// mutateArrivalDate dates a poll by its response instead of its request.
 	mutateArrivalDate
 )
 
-func newWorld(random *rand.Rand, nodes, endpoints, want int) *world {
-	w := &world{random: random, now: epochStart, rows: map[string]row{}, want: want}
+func newWorld(random *rand.Rand, nodes, endpoints, wantedGroups int) *world {
+	w := &world{random: random, now: startTime, rows: map[string]row{}, wantedGroups: wantedGroups}
 	for i := range endpoints {
 		id := fleet.InstanceID(fmt.Sprintf("e%02d", i))
-		in := fleet.Instance{ID: id, DataCentre: dc, Domain: "rack", Kind: fleet.KindEngine, Accelerators: 4, ChecksFences: true}
-		e := &endpoint{in: in}
+		instance := fleet.Instance{ID: id, DataCentre: dataCentre, Domain: "rack", Kind: fleet.KindEngine, Accelerators: 4, ChecksFences: true}
+		e := &endpoint{instance: instance}
 		e.start(w)
 		w.endpoints = append(w.endpoints, e)
 	}
@@ -134,8 +134,8 @@
 	e.alive, e.frozen = true, false
 	e.fence = fleet.Fence{}
 	e.inbox = nil
-	e.badSince = time.Time{}
-	e.report = fleet.Report{Instance: e.in.ID, Incarnation: uint64(w.now.UnixNano()), Version: 1, Slots: 8}
+	e.unavailableSince = time.Time{}
+	e.report = fleet.Report{Instance: e.instance.ID, Incarnation: uint64(w.now.UnixNano()), Version: 1, Slots: 8}
 }
 
 func (e *endpoint) change(f func(*fleet.Report)) {
@@ -150,38 +150,38 @@
 	w := n.w
 	n.alive, n.frozen = true, false
 	n.inbox = nil
-	n.options = membership.DefaultOptions(membership.Node{ID: n.id, DataCentre: dc, Address: "x"}, uint64(w.now.UnixNano()), w.now)
+	n.options = membership.DefaultOptions(membership.Node{ID: n.id, DataCentre: dataCentre, Address: "x"}, uint64(w.now.UnixNano()), w.now)
 	n.tracker = membership.New(n.options)
 	var known []membership.Node
 	for _, other := range w.nodes {
-		known = append(known, membership.Node{ID: other.id, DataCentre: dc, Address: "x"})
+		known = append(known, membership.Node{ID: other.id, DataCentre: dataCentre, Address: "x"})
 	}
 	n.tracker.SetKnown(w.now, known)
 	n.lease = lease.New(lease.Options{Self: string(n.id), TTL: leaseTTL, RenewInterval: leaseTTL / 4, Guard: leaseTTL / 4})
 	n.planner = placement.New(placement.DefaultOptions())
 	n.groups = fleet.NewGroups()
 	n.ledger, n.queue, n.busy, n.epoch, n.lastRevision = nil, nil, false, 0, 0
-	n.polled = map[fleet.InstanceID]time.Time{}
-	n.beaten = map[membership.NodeID]time.Time{}
-	n.ordered = map[fleet.InstanceID]time.Time{}
+	n.lastPoll = map[fleet.InstanceID]time.Time{}
+	n.lastExchange = map[membership.NodeID]time.Time{}
+	n.lastOrder = map[fleet.InstanceID]time.Time{}
 	n.nextHead, n.nextPlan = time.Time{}, time.Time{}
 }
 
-// send delivers something after a random delay, now and then a long one. A
-// node's life that has ended gets nothing.
+// send delivers a message after a random delay, which is occasionally long.
 func (w *world) send(deliver func()) {
 	delay := time.Duration(w.random.IntN(60)) * time.Millisecond
 	if w.random.IntN(50) == 0 {
 		delay = time.Duration(w.random.IntN(6000)) * time.Millisecond
 	}
-	w.flying = append(w.flying, message{w.now.Add(delay), deliver})
+	w.inFlight = append(w.inFlight, message{w.now.Add(delay), deliver})
 }
 
-// toNode delivers to a node's present life; a frozen one gets it on waking.
+// toNode sends a message to the current incarnation of a node. A frozen node handles it once it
+// is thawed; an isolated or restarted one never does.
 func (w *world) toNode(n *node, f func()) {
-	life := n.options.Incarnation
+	incarnation := n.options.Incarnation
 	w.send(func() {
-		if !n.alive || n.options.Incarnation != life || n.cut {
+		if !n.alive || n.options.Incarnation != incarnation || n.isolated {
 			return
 		}
 		if n.frozen {
@@ -193,9 +193,9 @@
 }
 
 func (w *world) toEndpoint(e *endpoint, f func(*endpoint)) {
-	life := e.report.Incarnation
+	incarnation := e.report.Incarnation
 	w.send(func() {
-		if !e.alive || e.report.Incarnation != life {
+		if !e.alive || e.report.Incarnation != incarnation {
 			return
 		}
 		if e.frozen {
@@ -206,19 +206,19 @@
 	})
 }
 
-// step lets a little time pass and everything happen that is due.
+// step advances the time by stepDuration, delivers due messages and runs endpoints and nodes.
 func (w *world) step() {
 	w.steps++
-	w.now = w.now.Add(tickStep)
+	w.now = w.now.Add(stepDuration)
 	var due, rest []message
-	for _, m := range w.flying {
+	for _, m := range w.inFlight {
 		if m.at.After(w.now) {
 			rest = append(rest, m)
 		} else {
 			due = append(due, m)
 		}
 	}
-	w.flying = rest
+	w.inFlight = rest
 	sort.SliceStable(due, func(i, j int) bool { return due[i].at.Before(due[j].at) })
 	for _, m := range due {
 		m.deliver()
@@ -238,9 +238,9 @@
 	if !e.alive || e.frozen {
 		return
 	}
-	if e.report.Phase == fleet.PhaseLoading && !w.now.Before(e.loadBy) {
+	if e.report.Phase == fleet.PhaseLoading && !w.now.Before(e.loadedAt) {
 		e.change(func(r *fleet.Report) {
-			r.Weights = e.loads
+			r.Weights = e.loading
 			r.Phase = fleet.PhaseReady
 			if r.Group == "" {
 				r.Phase = fleet.PhaseIdle
@@ -249,9 +249,9 @@
 	}
 }
 
-// commit is the table: conditional, and now and then its answer is lost.
+// commit applies a conditional write to the table. Its response is lost at loseAnswerRate.
 func (w *world) commit(conditions []ledger.Condition, writes []ledger.Write, deletes ...string) (version uint64, committed, answered bool) {
-	if w.down {
+	if w.tableDown {
 		return 0, false, false
 	}
 	for _, c := range conditions {
@@ -271,7 +271,7 @@
 	for _, key := range deletes {
 		delete(w.rows, key)
 	}
-	return w.version, true, w.random.Float64() >= w.loseRate
+	return w.version, true, w.random.Float64() >= w.loseAnswerRate
 }
 
 func (w *world) scan(prefix string) []ledger.Row {
@@ -285,25 +285,25 @@
 	return out
 }
 
-// call asks the table after a delay and answers after another.
-func (n *node) call(ask func() (answer func())) {
+// callTable executes a request at the table after a random delay and then runs the function that
+// the request returned, unless the node has crashed or restarted.
+func (n *node) callTable(request func() (finish func())) {
 	w := n.w
-	life := n.options.Incarnation
+	incarnation := n.options.Incarnation
 	n.busy = true
-	cut := n.cut
+	isolated := n.isolated
 	w.send(func() {
-		// A request that has left takes effect even if its sender is frozen
-		// or dead by now.
-		answer := func() { n.lease.StoreUnavailable() }
-		if !cut && !w.down {
-			answer = ask()
+		// A request in flight takes effect even if its sender has crashed or is frozen.
+		finish := func() { n.lease.StoreUnavailable() }
+		if !isolated && !w.tableDown {
+			finish = request()
 		}
-		w.flying = append(w.flying, message{w.now, func() {
+		w.inFlight = append(w.inFlight, message{w.now, func() {
 			done := func() {
 				n.busy = false
-				answer()
+				finish()
 			}
-			if !n.alive || n.options.Incarnation != life {
+			if !n.alive || n.options.Incarnation != incarnation {
 				return
 			}
 			if n.frozen {
@@ -318,50 +318,50 @@
 func (n *node) tick() {
 	w := n.w
 	n.tracker.Expire(w.now)
-	live := n.tracker.WatchCandidates(w.now)
+	candidates := n.tracker.WatchCandidates(w.now)
 	for _, e := range w.endpoints {
-		if n.tracker.Watches(live, e.in.ID) && w.now.Sub(n.polled[e.in.ID]) >= 400*time.Millisecond {
+		if n.tracker.Watches(candidates, e.instance.ID) && w.now.Sub(n.lastPoll[e.instance.ID]) >= 400*time.Millisecond {
 			n.poll(e)
 		}
 	}
 	for _, other := range w.nodes {
-		if other != n && w.now.Sub(n.beaten[other.id]) >= 400*time.Millisecond {
+		if other != n && w.now.Sub(n.lastExchange[other.id]) >= 400*time.Millisecond {
 			n.exchange(other)
 		}
 	}
-	n.keepLease()
-	n.control()
+	n.stepLease()
+	n.stepController()
 }
 
 func (n *node) poll(e *endpoint) {
 	w := n.w
-	n.polled[e.in.ID] = w.now
-	if n.cut {
+	n.lastPoll[e.instance.ID] = w.now
+	if n.isolated {
 		return
 	}
-	asked := w.now
+	sentAt := w.now
 	w.toEndpoint(e, func(e *endpoint) {
 		report := e.report
 		w.toNode(n, func() {
 			if w.mutate == mutateArrivalDate {
-				asked = w.now
+				sentAt = w.now
 			}
-			n.tracker.Observe(asked, report)
+			n.tracker.Observe(sentAt, report)
 		})
 	})
 }
 
-// keep is shorter than the daemon's, so that short runs meet the dropping.
-const keep = 5
+// keptRevisions is lower than the daemon's, so that short runs drop tombstones.
+const keptRevisions = 5
 
 func (n *node) applyGroups(d fleet.GroupsDelta) {
 	n.groups.Apply(d)
-	if revision := n.groups.Revision(); revision > keep {
-		n.groups.DropTombstones(revision - keep)
+	if revision := n.groups.Revision(); revision > keptRevisions {
+		n.groups.DropTombstones(revision - keptRevisions)
 	}
 }
 
-func (n *node) beat(to *node) membership.Heartbeat {
+func (n *node) heartbeat(to *node) membership.Heartbeat {
 	n.tracker.Expire(n.w.now)
 	return n.tracker.NextHeartbeat(n.w.now, to.id, membership.LocalState{GroupsRevision: n.groups.Revision()})
 }
@@ -375,27 +375,27 @@
 
 func (n *node) exchange(to *node) {
 	w := n.w
-	n.beaten[to.id] = w.now
-	if n.cut || to.cut {
+	n.lastExchange[to.id] = w.now
+	if n.isolated || to.isolated {
 		return
 	}
-	_, have := n.tracker.Revisions(to.id)
-	b := n.beat(to)
-	delta := n.groups.DeltaSince(have)
+	_, knownRevision := n.tracker.Revisions(to.id)
+	b := n.heartbeat(to)
+	delta := n.groups.DeltaSince(knownRevision)
 	w.toNode(to, func() {
-		to.beaten[n.id] = w.now
+		to.lastExchange[n.id] = w.now
 		to.receive(b)
 		to.applyGroups(delta)
-		answer := to.beat(n)
-		back := to.groups.DeltaSince(b.GroupsRevision)
+		response := to.heartbeat(n)
+		responseDelta := to.groups.DeltaSince(b.GroupsRevision)
 		w.toNode(n, func() {
-			n.receive(answer)
-			n.applyGroups(back)
+			n.receive(response)
+			n.applyGroups(responseDelta)
 		})
 	})
 }
 
-func (n *node) keepLease() {
+func (n *node) stepLease() {
 	w := n.w
 	if n.busy {
 		return
@@ -403,8 +403,8 @@
 	action := n.lease.Next(w.now)
 	switch action.Kind {
 	case lease.ActionRead:
-		n.call(func() func() {
-			r, epoch := w.rows[ledger.LeaseKey(dc)], w.rows[ledger.EpochKey(dc)]
+		n.callTable(func() func() {
+			r, epoch := w.rows[ledger.LeaseKey(dataCentre)], w.rows[ledger.EpochKey(dataCentre)]
 			return func() {
 				var value lease.Row
 				if r.version > 0 {
@@ -421,21 +421,21 @@
 
 func (n *node) writeLease(action lease.Action) {
 	w := n.w
-	asked := w.now
-	conditions := []ledger.Condition{{Key: ledger.LeaseKey(dc), Version: action.Version}}
-	writes := []ledger.Write{{Key: ledger.LeaseKey(dc), Value: action.Row}}
+	sentAt := w.now
+	conditions := []ledger.Condition{{Key: ledger.LeaseKey(dataCentre), Version: action.Version}}
+	writes := []ledger.Write{{Key: ledger.LeaseKey(dataCentre), Value: action.Row}}
 	if action.Kind == lease.ActionAcquire {
-		conditions = append(conditions, ledger.Condition{Key: ledger.EpochKey(dc), Version: n.epochVersion})
-		writes = append(writes, ledger.Write{Key: ledger.EpochKey(dc), Value: ledger.Epoch{Epoch: action.Row.Epoch, Holder: string(n.id)}})
+		conditions = append(conditions, ledger.Condition{Key: ledger.EpochKey(dataCentre), Version: n.epochVersion})
+		writes = append(writes, ledger.Write{Key: ledger.EpochKey(dataCentre), Value: ledger.Epoch{Epoch: action.Row.Epoch, Holder: string(n.id)}})
 	}
-	n.call(func() func() {
+	n.callTable(func() func() {
 		version, ok, answered := w.commit(conditions, writes)
 		return func() {
 			if !answered {
 				n.lease.StoreUnavailable()
 				return
 			}
-			n.lease.WriteDone(asked, action.Row, version, ok)
+			n.lease.WriteDone(sentAt, action.Row, version, ok)
 			if ok && action.Kind == lease.ActionAcquire {
 				n.epochVersion = version
 			}
@@ -443,8 +443,8 @@
 	})
 }
 
-// control is what the daemon's controller does, on the same pure parts.
-func (n *node) control() {
+// stepController does the work of the daemon's controller with the same state machines.
+func (n *node) stepController() {
 	w := n.w
 	epoch, held := n.lease.Held(w.now)
 	if !held {
@@ -459,32 +459,32 @@
 		return
 	}
 	if n.ledger == nil {
-		n.load()
+		n.loadLedger()
 		return
 	}
 	if len(n.queue) > 0 {
 		action := n.queue[0]
 		n.queue = n.queue[1:]
-		n.carryOut(action)
+		n.execute(action)
 		return
 	}
 	if !w.now.Before(n.nextPlan) {
 		n.nextPlan = w.now.Add(500 * time.Millisecond)
-		n.queue = n.planner.Step(n.view())
+		n.queue = n.planner.Step(n.placementView())
 	}
-	n.order()
+	n.sendOrders()
 }
 
-func (n *node) load() {
+func (n *node) loadLedger() {
 	w := n.w
 	epoch, version := n.epoch, n.epochVersion
-	n.call(func() func() {
-		rows := w.scan(ledger.Prefix(dc))
+	n.callTable(func() func() {
+		rows := w.scan(ledger.Prefix(dataCentre))
 		return func() {
 			if n.epoch != epoch {
 				return
 			}
-			l, delta, err := ledger.Load(dc, epoch, version, rows)
+			l, delta, err := ledger.Load(dataCentre, epoch, version, rows)
 			if err != nil {
 				panic(err)
 			}
@@ -494,20 +494,20 @@
 	})
 }
 
-func (n *node) view() placement.View {
+func (n *node) placementView() placement.View {
 	v := placement.View{Now: n.w.now, Groups: n.groups.All()}
 	for _, e := range n.w.endpoints {
-		status, fresh := n.tracker.Status(n.w.now, e.in.ID)
-		v.Instances = append(v.Instances, placement.Instance{Instance: e.in, Fresh: fresh, Report: status.Report})
+		status, fresh := n.tracker.Status(n.w.now, e.instance.ID)
+		v.Instances = append(v.Instances, placement.Instance{Instance: e.instance, Fresh: fresh, Report: status.Report})
 	}
 	v.Demands = []placement.Demand{{
-		Template: "t", Weights: "m@1", Role: fleet.RoleMixed, Size: groupLen,
-		Want: n.w.want, Soon: n.w.want, WeightDowntime: 1000, WeightStranded: 0.001,
+		Template: "t", Weights: "m@1", Role: fleet.RoleMixed, Size: groupSize,
+		Want: n.w.wantedGroups, Soon: n.w.wantedGroups, WeightDowntime: 1000, WeightStranded: 0.001,
 	}}
 	return v
 }
 
-func (n *node) carryOut(a placement.Action) {
+func (n *node) execute(a placement.Action) {
 	if a.Kind == placement.ActionPreload {
 		return
 	}
@@ -516,7 +516,7 @@
 		n.queue = nil
 		return
 	}
-	n.call(func() func() {
+	n.callTable(func() func() {
 		version, committed, answered := n.w.commit(change.Conditions, change.Writes, change.Deletes...)
 		return func() {
 			if n.ledger == nil {
@@ -531,9 +531,9 @@
 	})
 }
 
-// order sends orders to members that are not in line, late and doubled at
-// random, and releases those that belong to no group.
-func (n *node) order() {
+// sendOrders sends orders to members whose reports don't match their group, and releases
+// endpoints that belong to no group.
+func (n *node) sendOrders() {
 	owner := map[fleet.InstanceID]fleet.Group{}
 	for _, g := range n.groups.All() {
 		for _, m := range g.Members {
@@ -541,16 +541,16 @@
 		}
 	}
 	for _, e := range n.w.endpoints {
-		status, fresh := n.tracker.Status(n.w.now, e.in.ID)
+		status, fresh := n.tracker.Status(n.w.now, e.instance.ID)
 		r := status.Report
-		g, member := owner[e.in.ID]
+		g, member := owner[e.instance.ID]
 		switch {
-		case !fresh || n.w.now.Sub(n.ordered[e.in.ID]) < time.Second:
+		case !fresh || n.w.now.Sub(n.lastOrder[e.instance.ID]) < time.Second:
 		case member && !(r.Group == g.ID && r.Generation == g.Generation):
-			n.ordered[e.in.ID] = n.w.now
+			n.lastOrder[e.instance.ID] = n.w.now
 			n.sendOrder(e, r.Incarnation, g.Fence(), g.ID, g.Weights)
 		case !member && r.Group != "":
-			n.ordered[e.in.ID] = n.w.now
+			n.lastOrder[e.instance.ID] = n.w.now
 			n.sendOrder(e, r.Incarnation, fleet.Fence{Epoch: n.epoch, Generation: n.groups.Revision()}, "", "")
 		}
 	}
@@ -558,7 +558,7 @@
 
 func (n *node) sendOrder(e *endpoint, incarnation uint64, fence fleet.Fence, group fleet.GroupID, weights string) {
 	w := n.w
-	obey := func(e *endpoint) {
+	apply := func(e *endpoint) {
 		if e.report.Incarnation != incarnation || fence.Less(e.fence) {
 			return
 		}
@@ -567,7 +567,7 @@
 		if same {
 			return
 		}
-		e.loads, e.loadBy = weights, w.now.Add(500*time.Millisecond)
+		e.loading, e.loadedAt = weights, w.now.Add(500*time.Millisecond)
 		e.change(func(r *fleet.Report) {
 			r.Group, r.Generation, r.Phase = group, fence.Generation, fleet.PhaseLoading
 			if group == "" {
@@ -575,8 +575,8 @@
 			}
 		})
 	}
-	w.toEndpoint(e, obey)
+	w.toEndpoint(e, apply)
 	if w.random.IntN(4) == 0 {
-		w.toEndpoint(e, obey)
+		w.toEndpoint(e, apply)
 	}
 }
