--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -14,23 +14,22 @@
 )
 
 const (
-	// eventsOfAnswer are those of a whole stream of the emulated workers.
-	eventsOfAnswer = 6
-	requestPause   = 15 * time.Millisecond
-	// requestTimeout is how long a caller waits at most.
+	// eventsPerStream is the number of events in a complete stream of the emulated workers.
+	eventsPerStream = 6
+	requestPause    = 15 * time.Millisecond
+	// requestTimeout is a caller's deadline.
 	requestTimeout = 6 * time.Second
-	// settleTime is how long a request that was refused may still turn up at a
-	// worker, if the refusal was false.
+	// settleTime is the maximum time until a request that was wrongly rejected as not run
+	// reaches a worker.
 	settleTime = 3 * time.Second
 )
 
-// Call has the callers send requests until the context ends, each on
-// connections of its own that it keeps, and then checks that no request that
-// was refused as not run has run.
-func (r *Run) Call(ctx context.Context) {
+// SendRequests sends requests from all callers, each with its own persistent connections, until
+// the context is done. It then checks that no request rejected as not run has run.
+func (r *Run) SendRequests(ctx context.Context) {
 	var running sync.WaitGroup
 	var mu sync.Mutex
-	var refused []string
+	var rejected []string
 	for i := range r.options.Callers {
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+i)))
 		running.Go(func() {
@@ -40,13 +39,13 @@
 				id := fmt.Sprintf("r-%d-%d", i, n)
 				p := r.entries[random.IntN(len(r.entries))]
 				if random.IntN(3) == 0 {
-					if r.plain(client, p, id) {
+					if r.callService(client, p, id) {
 						mu.Lock()
-						refused = append(refused, id)
+						rejected = append(rejected, id)
 						mu.Unlock()
 					}
 				} else {
-					r.stream(client, p, id)
+					r.callModel(client, p, id)
 				}
 				time.Sleep(requestPause)
 			}
@@ -54,25 +53,25 @@
 	}
 	running.Wait()
 	time.Sleep(settleTime)
-	for _, id := range refused {
+	for _, id := range rejected {
 		if r.platform.Runs(id) > 0 {
-			r.breakPromise("request %s ran and was refused as not run", id)
+			r.recordViolation("request %s ran although it was rejected as not run", id)
 		}
 	}
 }
 
 const (
-	// poisonRequests is how many different requests end the endpoints that run them, and
-	// poisonPause the time between two tries of each, at any entry instance.
-	poisonRequests = 2
-	poisonPause    = 400 * time.Millisecond
+	// crashingRequests is the number of distinct requests that crash the endpoints that run
+	// them, and crashingRequestPause the interval between attempts of each.
+	crashingRequests     = 2
+	crashingRequestPause = 400 * time.Millisecond
 )
 
-// CallPoison has callers send requests that end the endpoints that run them, again and
-// again, until the context ends.
-func (r *Run) CallPoison(ctx context.Context) {
+// SendCrashingRequests repeatedly sends requests that crash the endpoints that run them to
+// random entry instances until the context is done.
+func (r *Run) SendCrashingRequests(ctx context.Context) {
 	var running sync.WaitGroup
-	for i := range poisonRequests {
+	for i := range crashingRequests {
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(200+i)))
 		running.Go(func() {
 			client := &http.Client{Timeout: requestTimeout}
@@ -81,23 +80,24 @@
 				p := r.entries[random.IntN(len(r.entries))]
 				response, _, _ := r.send(client, p, emulator.ModelHost, fmt.Sprintf("c-%d-%d", i, n), body)
 				if response != nil {
-					r.count(fmt.Sprint("poison ", response.StatusCode))
+					r.count(fmt.Sprint("crashing request ", response.StatusCode))
 				}
-				time.Sleep(poisonPause)
+				time.Sleep(crashingRequestPause)
 			}
 		})
 	}
 	running.Wait()
 }
 
-// request sends a request and returns its answer, read as far as it goes.
-func (r *Run) request(client *http.Client, p *process, host, id string) (response *http.Response, body string, err error) {
+// sendDefault sends a request with a body derived from its ID. It returns the response and the
+// part of its body that could be read.
+func (r *Run) sendDefault(client *http.Client, p *process, host, id string) (response *http.Response, body string, err error) {
 	return r.send(client, p, host, id, "body of "+id)
 }
 
-// send sends a request with a body.
+// send sends a request with the given body, like sendDefault.
 func (r *Run) send(client *http.Client, p *process, host, id, content string) (response *http.Response, body string, err error) {
-	request, err := emulator.NewRequest(p.callers, host, id, requestTimeout, []byte(content))
+	request, err := emulator.NewRequest(p.callerAddress, host, id, requestTimeout, []byte(content))
 	if err != nil {
 		return nil, "", err
 	}
@@ -109,12 +109,11 @@
 	return response, string(text), err
 }
 
-// check looks at what holds for every answer, and reports whether it is a
-// success.
-func (r *Run) check(response *http.Response, id string) bool {
+// checkResponse checks the invariants of every response and reports whether it is a success.
+func (r *Run) checkResponse(response *http.Response, id string) bool {
 	r.count(fmt.Sprint(response.StatusCode))
 	if echo := emulator.Echo(response.Header); response.StatusCode == http.StatusOK && echo != id {
-		r.breakPromise("request %s got the answer of %q", id, echo)
+		r.recordViolation("request %s got the response to %q", id, echo)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -122,37 +121,37 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadGateway, http.StatusGatewayTimeout:
 		return false
 	}
-	r.breakPromise("request %s, which is proper, got %d", id, response.StatusCode)
+	r.recordViolation("valid request %s got status %d", id, response.StatusCode)
 	return false
 }
 
-// plain sends a request that may run once, and reports whether it was refused
-// as not run.
-func (r *Run) plain(client *http.Client, p *process, id string) (refused bool) {
-	response, body, err := r.request(client, p, emulator.ServiceHost, id)
+// callService sends a request that may run at most once and reports whether it was rejected as
+// not run.
+func (r *Run) callService(client *http.Client, p *process, id string) (rejected bool) {
+	response, body, err := r.sendDefault(client, p, emulator.ServiceHost, id)
 	if runs := r.platform.Runs(id); runs > 1 {
-		r.breakPromise("request %s ran %d times", id, runs)
+		r.recordViolation("request %s ran %d times", id, runs)
 	}
 	if response == nil {
 		r.count("no answer")
 		return false
 	}
-	ok := r.check(response, id)
+	ok := r.checkResponse(response, id)
 	if ok && err == nil && !strings.HasSuffix(body, ": body of "+id) {
-		r.breakPromise("request %s got the body %q", id, body)
+		r.recordViolation("request %s got the body %q", id, body)
 	}
 	return response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
 }
 
-// stream sends a request whose events must come once each and in order, and
-// which must not look whole before the last.
-func (r *Run) stream(client *http.Client, p *process, id string) {
-	response, body, err := r.request(client, p, emulator.ModelHost, id)
+// callModel sends a streaming request and checks that each event arrives once and in order and
+// that an incomplete stream ends with an error.
+func (r *Run) callModel(client *http.Client, p *process, id string) {
+	response, body, err := r.sendDefault(client, p, emulator.ModelHost, id)
 	if response == nil {
 		r.count("no answer")
 		return
 	}
-	if !r.check(response, id) {
+	if !r.checkResponse(response, id) {
 		return
 	}
 	events := 0
@@ -162,29 +161,29 @@
 		}
 		events++
 		if line != fmt.Sprintf("id: %d\n", events) {
-			r.breakPromise("stream %s has %q as event %d", id, line, events)
+			r.recordViolation("stream %s has %q as event %d", id, line, events)
 		}
 	}
-	if err == nil && events != eventsOfAnswer {
-		r.breakPromise("stream %s ended as whole after %d events", id, events)
+	if err == nil && events != eventsPerStream {
+		r.recordViolation("stream %s ended without an error after %d events", id, events)
 	}
 }
 
-// Calm waits until every entry instance serves both services again, with a
-// model group left: false means that it did not come about within a bound.
-func (r *Run) Calm() error {
-	until := time.Now().Add(calmBound)
+// WaitHealthy waits until every entry instance serves both services. It returns an error if one
+// does not within recoveryTimeout.
+func (r *Run) WaitHealthy() error {
+	until := time.Now().Add(recoveryTimeout)
 	client := &http.Client{Timeout: requestTimeout}
 	for n, p := range r.entries {
-		for try := 0; ; try++ {
-			id := fmt.Sprintf("calm-%d-%d", n, try)
-			model, _, err := r.request(client, p, emulator.ModelHost, id)
-			plain, _, err2 := r.request(client, p, emulator.ServiceHost, id+"-plain")
-			if err == nil && err2 == nil && model.StatusCode == http.StatusOK && plain.StatusCode == http.StatusOK {
+		for attempt := 0; ; attempt++ {
+			id := fmt.Sprintf("calm-%d-%d", n, attempt)
+			model, _, modelErr := r.sendDefault(client, p, emulator.ModelHost, id)
+			service, _, serviceErr := r.sendDefault(client, p, emulator.ServiceHost, id+"-plain")
+			if modelErr == nil && serviceErr == nil && model.StatusCode == http.StatusOK && service.StatusCode == http.StatusOK {
 				break
 			}
 			if time.Now().After(until) {
-				return fmt.Errorf("%s does not serve %s after the last fault: %v %v", p.name, calmBound, err, err2)
+				return fmt.Errorf("%s is not serving %s after the last fault: %v %v", p.name, recoveryTimeout, modelErr, serviceErr)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/lab/soak/configuration.go
+++ b/lab/soak/configuration.go
@@ -11,12 +11,12 @@
 	"github.com/ridgehinge/ridgehinge/internal/standin/memtable"
 )
 
-// versionLine is the line of the metrics page that tells the configuration in force.
-var versionLine = regexp.MustCompile(`(?m)^ridgehinge_configuration_version\{[^}]*\} (\S+)$`)
+// versionPattern matches the metric with the version of the active configuration.
+var versionPattern = regexp.MustCompile(`(?m)^ridgehinge_configuration_version\{[^}]*\} (\S+)$`)
 
-// inForce returns the version of the configuration that an entry instance acts on.
-func (p *process) inForce(client *http.Client) (uint64, error) {
-	response, err := client.Get("http://" + p.metrics + "/metrics")
+// configurationVersion returns the version of an entry instance's active configuration.
+func (p *process) configurationVersion(client *http.Client) (uint64, error) {
+	response, err := client.Get("http://" + p.metricsAddress + "/metrics")
 	if err != nil {
 		return 0, err
 	}
@@ -25,76 +25,75 @@
 	if err != nil {
 		return 0, err
 	}
-	found := versionLine.FindSubmatch(text)
+	found := versionPattern.FindSubmatch(text)
 	if found == nil {
-		return 0, fmt.Errorf("%s tells no version of its configuration", p.name)
+		return 0, fmt.Errorf("%s reports no configuration version", p.name)
 	}
 	version, err := strconv.ParseFloat(string(found[1]), 64)
 	return uint64(version), err
 }
 
-// ConfiguredAfterSilence has the store fall silent with calls under way, writes a
-// configuration as soon as it answers again, and waits until each entry instance acts on
-// it; the time that took is returned. A watch that was sent into the silence is never
-// answered.
-func (r *Run) ConfiguredAfterSilence(silence time.Duration) (time.Duration, error) {
-	r.store(silent, silence)
+// ConfigureAfterOutage makes the store stop answering with calls in flight, writes a
+// configuration as soon as it answers again, and returns the time from then until every entry
+// instance uses it. A watch that was sent during the outage is never answered.
+func (r *Run) ConfigureAfterOutage(silence time.Duration) (time.Duration, error) {
+	r.injectStoreFault(silentStore, silence)
 	r.configure()
-	return r.awaitConfigured()
+	return r.waitConfigured()
 }
 
-// ConfiguredAfterCopy has the store come back from an older copy after an outage in which it
-// gives the versions of the lost time out again, a configuration among them, and waits until
-// each entry instance acts on that; the time that took is returned. A watch from before tells
-// nothing of it.
-func (r *Run) ConfiguredAfterCopy(outage time.Duration) (time.Duration, error) {
-	older := r.platform.Table.Copy()
-	r.giveOutVersions(fillers)
+// ConfigureAfterRestore restores the store from an older copy and, before it answers again,
+// assigns the lost versions to other writes, including a new configuration. It returns the time
+// until every entry instance uses that. A watch from before the restore does not report it.
+func (r *Run) ConfigureAfterRestore(outage time.Duration) (time.Duration, error) {
+	snapshot := r.platform.Table.Copy()
+	r.consumeVersions(fillerWrites)
 	time.Sleep(outage)
 	r.platform.Table.SetFaults(memtable.Faults{Down: true})
-	r.platform.Restore(older, rewritten)
-	time.Sleep(rewritten)
+	r.platform.Restore(snapshot, rewritePeriod)
+	time.Sleep(rewritePeriod)
 	r.configure()
-	r.giveOutVersions(2 * fillers)
+	r.consumeVersions(2 * fillerWrites)
 	r.platform.Table.SetFaults(memtable.Faults{})
-	return r.awaitConfigured()
+	return r.waitConfigured()
 }
 
-// fillers is how often another writer writes in the lost time: by far more than all others.
-const fillers = 100
+// fillerWrites is the number of foreign writes before the restore, far more than all other
+// writes.
+const fillerWrites = 100
 
-// giveOutVersions has another writer write and remove rows a number of times.
-func (r *Run) giveOutVersions(times int) {
+// consumeVersions advances the store's version by writing and removing foreign rows.
+func (r *Run) consumeVersions(times int) {
 	for n := range times {
 		keys, err := r.platform.WriteForeign(fmt.Sprintf("filler-%d-", n))
 		if err == nil {
 			err = r.platform.Remove(keys)
 		}
 		if err != nil {
-			r.breakPromise("the harness: %v", err)
+			r.recordViolation("test harness: %v", err)
 		}
 	}
 }
 
-// awaitConfigured waits until each entry instance acts on the newest configuration and returns
-// how long that took.
-func (r *Run) awaitConfigured() (time.Duration, error) {
+// waitConfigured waits until every entry instance uses the newest configuration and returns the
+// time that took.
+func (r *Run) waitConfigured() (time.Duration, error) {
 	began := time.Now()
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range r.entries {
 		for {
-			version, err := p.inForce(client)
-			if err == nil && version == r.version {
+			version, err := p.configurationVersion(client)
+			if err == nil && version == r.configurationVersion {
 				break
 			}
-			if time.Since(began) > calmBound {
-				return 0, fmt.Errorf("%s acts on configuration %d (%v), not on %d, %s after it was written", p.name, version, err, r.version, calmBound)
+			if time.Since(began) > recoveryTimeout {
+				return 0, fmt.Errorf("%s uses configuration %d (%v) instead of %d %s after it was written", p.name, version, err, r.configurationVersion, recoveryTimeout)
 			}
-			time.Sleep(inForcePoll)
+			time.Sleep(versionPollInterval)
 		}
 	}
 	return time.Since(began), nil
 }
 
-// inForcePoll is the pause between two looks at a version; the page tells it once a second.
-const inForcePoll = 50 * time.Millisecond
+// versionPollInterval is the interval between reads of the metric, which is updated once a second.
+const versionPollInterval = 50 * time.Millisecond
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -14,24 +14,24 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// silent is a store that answers no call that reaches it meanwhile, nor later.
-var silent = memtable.Faults{Silent: true}
+// silentStore makes the store never answer the calls that reach it during the fault.
+var silentStore = memtable.Faults{Silent: true}
 
-// Faults injects the run's faults, one after the other and overlapping, waits
-// until they are over, and has everything healed.
-func (r *Run) Faults() {
+// InjectFaults injects the run's faults, which overlap, waits until they have ended and removes
+// any that are left.
+func (r *Run) InjectFaults() {
 	var running sync.WaitGroup
-	older := r.platform.Table.Copy()
+	snapshot := r.platform.Table.Copy()
 	for step := range r.options.Steps {
-		fault := r.draw()
+		fault := r.drawFault()
 		running.Go(fault)
 		r.drawSilence()
 		r.drawLimit(&running)
 		r.drawRejecting(&running)
-		r.drawLeaving(&running)
-		if step%copyEvery == copyEvery-1 {
-			r.drawRestore(&running, older)
-			older = r.platform.Table.Copy()
+		r.drawDraining(&running)
+		if step%restoreEvery == restoreEvery-1 {
+			r.drawRestore(&running, snapshot)
+			snapshot = r.platform.Table.Copy()
 		}
 		time.Sleep(r.options.StepPause)
 	}
@@ -39,36 +39,41 @@
 	r.heal()
 }
 
-// draw decides the next fault; all chance is drawn here, in order.
-func (r *Run) draw() func() {
+// drawFault draws the next fault. All random numbers are drawn before the fault runs, so that a
+// seed determines them.
+func (r *Run) drawFault() func() {
 	entry := r.entries[r.random.IntN(len(r.entries))]
-	for_ := time.Duration(200+r.random.IntN(2800)) * time.Millisecond
+	duration := time.Duration(200+r.random.IntN(2800)) * time.Millisecond
 	proxy := r.proxies[r.random.IntN(len(r.proxies))]
 	worker := r.drawWorker()
 	switch r.random.IntN(17) {
 	case 0:
-		return func() { r.kill(entry, for_/4) }
+		return func() { r.kill(entry, duration/4) }
 	case 1:
 		return func() { r.terminate(entry) }
 	case 2:
-		return func() { r.pause(entry, for_) }
+		return func() { r.pause(entry, duration) }
 	case 3:
-		return func() { r.hangUp(entry) }
+		return func() { r.reload(entry) }
 	case 4:
-		return func() { r.disturb(proxy, entry.source, faultproxy.Fault{Refuse: true}, for_) }
+		return func() { r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{Refuse: true}, duration) }
 	case 5:
-		return func() { r.disturb(proxy, entry.source, faultproxy.Fault{HoldUp: true, HoldDown: true}, for_) }
+		return func() {
+			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{HoldUp: true, HoldDown: true}, duration)
+		}
 	case 6:
-		return func() { r.disturb(proxy, entry.source, faultproxy.Fault{HoldDown: true}, for_) }
+		return func() { r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{HoldDown: true}, duration) }
 	case 7:
-		return func() { r.disturb(proxy, faultproxy.Any, faultproxy.Fault{Delay: for_ / 50}, for_) }
+		return func() { r.injectProxyFault(proxy, faultproxy.Any, faultproxy.Fault{Delay: duration / 50}, duration) }
 	case 8:
-		// The store turns one entry instance away.
-		return func() { r.disturb(r.proxies[0], entry.source, faultproxy.Fault{Refuse: true}, 2*for_) }
+		// The store is unreachable for one entry instance.
+		return func() {
+			r.injectProxyFault(r.proxies[0], entry.sourceAddress, faultproxy.Fault{Refuse: true}, 2*duration)
+		}
 	case 9:
-		faults := []memtable.Faults{{Down: true}, silent, {LoseAnswers: true}, {LoseAnswers: true, Late: for_ / 4}}
+		faults := []memtable.Faults{{Down: true}, silentStore, {LoseAnswers: true}, {LoseAnswers: true, Late: duration / 4}}
 		chosen := faults[r.random.IntN(len(faults))]
-		return func() { r.store(chosen, for_) }
+		return func() { r.injectStoreFault(chosen, duration) }
 	case 10:
 		return r.platform.Table.ForgetHistory
 	case 11:
@@ -76,149 +81,147 @@
 	case 12:
 		return func() { r.platform.Crash(worker) }
 	case 13:
-		return func() { r.suspend(entry, for_) }
+		return func() { r.suspend(entry, duration) }
 	case 14:
-		return func() { r.writeForeign(for_) }
+		return func() { r.writeForeign(duration) }
 	case 15:
 		condition := []fleetstandin.Condition{fleetstandin.Dark, fleetstandin.Unlisted, fleetstandin.CutOff}[r.random.IntN(3)]
-		return func() { r.worker(worker, condition, 2*for_) }
+		return func() { r.injectWorkerFault(worker, condition, 2*duration) }
 	}
-	late := for_ / 3
+	late := duration / 3
 	return func() {
 		r.platform.Fleet.SetLate(func() time.Duration { return late })
-		time.Sleep(for_)
+		time.Sleep(duration)
 		r.platform.Fleet.SetLate(func() time.Duration { return 0 })
 	}
 }
 
-// silenceEvery is the number of faults beside one of which the open connections through
-// a proxy fall silent for good.
+// silenceEvery is the mean number of faults per permanent silence of a proxy's open connections.
 const silenceEvery = 5
 
-// drawSilence has the open connections through a proxy fall silent, now and then.
+// drawSilence occasionally silences the open connections of a proxy for good.
 func (r *Run) drawSilence() {
-	proxy := r.proxies[r.silences.IntN(len(r.proxies))]
-	if r.silences.IntN(silenceEvery) == 0 {
+	proxy := r.proxies[r.silenceRandom.IntN(len(r.proxies))]
+	if r.silenceRandom.IntN(silenceEvery) == 0 {
 		proxy.Silence(faultproxy.Any)
 	}
 }
 
 const (
-	// limitEvery is the number of faults beside one of which an endpoint names a limit.
+	// limitEvery is the mean number of faults per rate limit advertised by an endpoint.
 	limitEvery = 4
-	// copyEvery is the number of faults after which the store may come back from the copy that
-	// was made so many faults before: a copy is some seconds old.
-	copyEvery = 8
-	// rewritten is within which time operator and endpoints write again what the store lost.
-	rewritten = 1200 * time.Millisecond
+	// restoreEvery is the number of faults between restores of the store, each from the copy
+	// made at the previous one.
+	restoreEvery = 8
+	// rewritePeriod is the time within which the operator and the endpoints rewrite lost rows.
+	rewritePeriod = 1200 * time.Millisecond
 )
 
-// drawLimit has an endpoint name a limit for a time, now and then, or what is none.
+// drawLimit occasionally makes an endpoint advertise a valid or malformed rate limit for a time.
 func (r *Run) drawLimit(running *sync.WaitGroup) {
-	if r.copies.IntN(limitEvery) != 0 {
+	if r.restoreRandom.IntN(limitEvery) != 0 {
 		return
 	}
-	id := r.drawEndpoint(r.copies)
-	text := strconv.FormatFloat(0.5+6*r.copies.Float64(), 'f', 1, 64)
-	if r.copies.IntN(5) == 0 {
-		text = []string{"0", "-3", "NaN", "1e300", "few", "2, 3"}[r.copies.IntN(6)]
+	id := r.drawEndpoint(r.restoreRandom)
+	text := strconv.FormatFloat(0.5+6*r.restoreRandom.Float64(), 'f', 1, 64)
+	if r.restoreRandom.IntN(5) == 0 {
+		text = []string{"0", "-3", "NaN", "1e300", "few", "2, 3"}[r.restoreRandom.IntN(6)]
 	}
-	for_ := time.Duration(500+r.copies.IntN(3500)) * time.Millisecond
+	duration := time.Duration(500+r.restoreRandom.IntN(3500)) * time.Millisecond
 	running.Go(func() {
 		r.platform.SetLimit(id, text)
-		time.Sleep(for_)
+		time.Sleep(duration)
 		r.platform.SetLimit(id, "")
 	})
 }
 
 const (
-	// rejectEvery is the number of faults beside one of which an endpoint sheds load, and
-	// leaveEvery that beside one of which an endpoint says that it leaves.
+	// rejectEvery and drainEvery are the mean numbers of faults per endpoint that rejects
+	// requests and per endpoint that drains.
 	rejectEvery = 4
-	leaveEvery  = 8
+	drainEvery  = 8
 )
 
-// drawRejecting has an endpoint reject a share of its requests for a time, now and then, with
-// a Retry-After or with what is none.
+// drawRejecting occasionally makes an endpoint reject a share of its requests for a time, with a
+// valid or malformed Retry-After.
 func (r *Run) drawRejecting(running *sync.WaitGroup) {
-	if r.advisories.IntN(rejectEvery) != 0 {
+	if r.advisoryRandom.IntN(rejectEvery) != 0 {
 		return
 	}
-	id := r.drawEndpoint(r.advisories)
-	share := 0.2 + 0.8*r.advisories.Float64()
-	text := strconv.FormatFloat(0.3+3*r.advisories.Float64(), 'f', 2, 64)
-	if r.advisories.IntN(5) == 0 {
-		text = []string{"", "0", "-3", "NaN", "1e300", "soon"}[r.advisories.IntN(6)]
+	id := r.drawEndpoint(r.advisoryRandom)
+	share := 0.2 + 0.8*r.advisoryRandom.Float64()
+	text := strconv.FormatFloat(0.3+3*r.advisoryRandom.Float64(), 'f', 2, 64)
+	if r.advisoryRandom.IntN(5) == 0 {
+		text = []string{"", "0", "-3", "NaN", "1e300", "soon"}[r.advisoryRandom.IntN(6)]
 	}
-	for_ := time.Duration(500+r.advisories.IntN(3500)) * time.Millisecond
+	duration := time.Duration(500+r.advisoryRandom.IntN(3500)) * time.Millisecond
 	running.Go(func() {
 		r.platform.SetRejecting(id, share, text)
-		time.Sleep(for_)
+		time.Sleep(duration)
 		r.platform.SetRejecting(id, 0, "")
 	})
 }
 
-// drawLeaving has an endpoint say in its answers that it leaves, now and then, and end.
-func (r *Run) drawLeaving(running *sync.WaitGroup) {
-	if r.advisories.IntN(leaveEvery) != 0 {
+// drawDraining occasionally makes an endpoint mark its responses as draining and then crash.
+func (r *Run) drawDraining(running *sync.WaitGroup) {
+	if r.advisoryRandom.IntN(drainEvery) != 0 {
 		return
 	}
-	id := r.drawEndpoint(r.advisories)
-	for_ := time.Duration(1000+r.advisories.IntN(3000)) * time.Millisecond
+	id := r.drawEndpoint(r.advisoryRandom)
+	duration := time.Duration(1000+r.advisoryRandom.IntN(3000)) * time.Millisecond
 	running.Go(func() {
 		r.platform.SetLeavingMark(id, "1")
-		time.Sleep(for_)
+		time.Sleep(duration)
 		r.platform.Crash(id)
 	})
 }
 
-// drawRestore has the store come back from an older copy, at once, after an outage or twice.
-func (r *Run) drawRestore(running *sync.WaitGroup, older memtable.Copy) {
-	outage := time.Duration(r.copies.IntN(3)) * 700 * time.Millisecond
-	twice := r.copies.IntN(3) == 0
+// drawRestore restores the store from an older copy, in some cases after an outage or twice.
+func (r *Run) drawRestore(running *sync.WaitGroup, snapshot memtable.Copy) {
+	outage := time.Duration(r.restoreRandom.IntN(3)) * 700 * time.Millisecond
+	twice := r.restoreRandom.IntN(3) == 0
 	running.Go(func() {
 		if outage > 0 {
 			r.platform.Table.SetFaults(memtable.Faults{Down: true})
 			time.Sleep(outage)
 		}
-		r.platform.Restore(older, rewritten)
+		r.platform.Restore(snapshot, rewritePeriod)
 		if twice {
-			time.Sleep(rewritten / 4)
-			r.platform.Restore(older, rewritten)
+			time.Sleep(rewritePeriod / 4)
+			r.platform.Restore(snapshot, rewritePeriod)
 		}
 		r.platform.Table.SetFaults(memtable.Faults{})
 	})
 }
 
-// Kills of all entry instances while their answers break off.
 const (
-	herdKills = 4
-	herdPause = 1500 * time.Millisecond
-	// herdBreaking is the share of answers that break off meanwhile.
-	herdBreaking = 0.5
+	killRounds = 4
+	killPause  = 1500 * time.Millisecond
+	// brokenResponseShare is the fraction of responses that are truncated during the kills.
+	brokenResponseShare = 0.5
 )
 
-// Herd kills all entry instances at once, again and again within a window of the retry budget,
-// while a share of all answers breaks off and every caller's request is worth a repeat.
-func (r *Run) Herd() {
-	r.platform.SetBreaking(herdBreaking)
+// KillAllRepeatedly kills all entry instances at once several times within a window of the retry
+// budget while a share of the responses is truncated, so that many requests are retried.
+func (r *Run) KillAllRepeatedly() {
+	r.platform.SetBreaking(brokenResponseShare)
 	defer r.platform.SetBreaking(0)
-	for range herdKills {
-		time.Sleep(herdPause)
+	for range killRounds {
+		time.Sleep(killPause)
 		var killing sync.WaitGroup
 		for _, p := range r.entries {
 			killing.Go(func() { r.kill(p, 0) })
 		}
 		killing.Wait()
 	}
-	time.Sleep(herdPause)
+	time.Sleep(killPause)
 }
 
-// Watch looks at what holds only where nothing is amiss: both plain endpoints and a worker name
-// limits, a plain endpoint and a group's head shed load, another group's head leaves, and
-// requests that end endpoints go on coming.
-func (r *Run) Watch(for_ time.Duration) {
-	rejecting := []serving.EndpointID{"s-south", r.head("south")}
+// ExerciseAdvisories runs without faults, as the checks of advisories require: both service
+// endpoints and a worker advertise rate limits, a service endpoint and a group's head reject
+// requests, and another group's head drains and then crashes.
+func (r *Run) ExerciseAdvisories(duration time.Duration) {
+	rejecting := []serving.EndpointID{"s-south", r.drawHead("south")}
 	for _, id := range rejecting {
 		r.platform.SetRejecting(id, 0.5, "1.5")
 	}
@@ -226,11 +229,11 @@
 	for i, id := range limited {
 		r.platform.SetLimit(id, strconv.Itoa(1+i))
 	}
-	// What is told before the grace has passed does not count.
-	time.Sleep(watchGrace)
-	leaving := r.head("north")
+	// Advisories within the grace are not checked.
+	time.Sleep(advisoryDelay)
+	leaving := r.drawHead("north")
 	r.platform.SetLeavingMark(leaving, "1")
-	time.Sleep(for_ - watchGrace)
+	time.Sleep(duration - advisoryDelay)
 	for _, id := range limited {
 		r.platform.SetLimit(id, "")
 	}
@@ -240,146 +243,147 @@
 	r.platform.Crash(leaving)
 }
 
-// watchGrace is a little longer than the grace of isCalm.
-var watchGrace = crashBound.Grace + 500*time.Millisecond
+// advisoryDelay is a little longer than the grace of isFaultFree.
+var advisoryDelay = crashBound.Grace + 500*time.Millisecond
 
-// head returns the head of an open group of a data centre, or any worker while there is none.
-func (r *Run) head(centre string) serving.EndpointID {
+// drawHead returns the head of an open group of a data centre, or a random worker if there is
+// none.
+func (r *Run) drawHead(centre string) serving.EndpointID {
 	if id, _ := r.platform.Head(centre); id != "" {
 		return id
 	}
 	return r.drawWorker()
 }
 
-// restart starts a process again, unless another fault has done so.
+// restart starts a process unless it is running.
 func (r *Run) restart(p *process) {
-	if !p.ended() {
+	if !p.exited() {
 		return
 	}
 	if err := p.start(r.options.Daemon); err != nil {
-		r.breakPromise("start %s: %v", p.name, err)
+		r.recordViolation("start %s: %v", p.name, err)
 	}
 }
 
-// lock takes a process out of the other faults of processes; false means that
-// one is under way.
-func (p *process) lock() bool {
+// beginFault reserves a process for one process fault; it returns false if another one is active.
+func (p *process) beginFault() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.paused {
+	if p.faultActive {
 		return false
 	}
-	p.paused = true
+	p.faultActive = true
 	return true
 }
 
-func (p *process) unlock() {
+func (p *process) endFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.paused = false
+	p.faultActive = false
 }
 
-func (r *Run) kill(p *process, away time.Duration) {
-	if !p.lock() {
+func (r *Run) kill(p *process, downtime time.Duration) {
+	if !p.beginFault() {
 		return
 	}
-	defer p.unlock()
+	defer p.endFault()
 	p.signal(syscall.SIGKILL)
 	<-p.done
-	time.Sleep(away)
+	time.Sleep(downtime)
 	r.restart(p)
 }
 
-// terminate is a planned stop, within its bound.
+// terminate stops a process with SIGTERM, checks that it exits within its bound, and restarts it.
 func (r *Run) terminate(p *process) {
-	if !p.lock() {
+	if !p.beginFault() {
 		return
 	}
-	defer p.unlock()
+	defer p.endFault()
 	began := time.Now()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 	case <-time.After(stopBound + stopSlack):
-		r.breakPromise("%s has not stopped %s after SIGTERM", p.name, time.Since(began))
+		r.recordViolation("%s is still running %s after SIGTERM", p.name, time.Since(began))
 		p.signal(syscall.SIGKILL)
 		<-p.done
 	}
 	r.restart(p)
 }
 
-func (r *Run) pause(p *process, for_ time.Duration) { p.standStill(for_, func() {}) }
+func (r *Run) pause(p *process, duration time.Duration) { p.stopFor(duration, func() {}) }
 
-// standStill stops a process for a time, and has something done before it goes on.
-func (p *process) standStill(for_ time.Duration, before func()) {
-	if !p.lock() {
+// stopFor stops a process for a time and calls beforeResume before resuming it.
+func (p *process) stopFor(duration time.Duration, beforeResume func()) {
+	if !p.beginFault() {
 		return
 	}
-	defer p.unlock()
+	defer p.endFault()
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(for_)
-	before()
+	time.Sleep(duration)
+	beforeResume()
 	p.signal(syscall.SIGCONT)
 }
 
-// suspend has a process stand still for a time that its monotonic clock does not count. The
-// kernel's clock goes on here, so the time counts twice for it, which is more trouble.
-func (r *Run) suspend(p *process, for_ time.Duration) {
-	p.standStill(for_, func() {
-		p.suspended += for_
-		text := strconv.FormatInt(p.suspended.Milliseconds(), 10)
-		if err := os.WriteFile(p.suspensions, []byte(text), 0o600); err != nil {
-			r.breakPromise("the harness: %v", err)
+// suspend emulates a suspension of the machine: it stops a process and adds the time to the
+// suspension file. As the kernel's monotonic clock keeps running, the process counts the time
+// twice, which is a harder case.
+func (r *Run) suspend(p *process, duration time.Duration) {
+	p.stopFor(duration, func() {
+		p.totalSuspended += duration
+		text := strconv.FormatInt(p.totalSuspended.Milliseconds(), 10)
+		if err := os.WriteFile(p.suspensionFile, []byte(text), 0o600); err != nil {
+			r.recordViolation("test harness: %v", err)
 		}
 	})
 }
 
-// writeForeign has another writer leave rows in the table of workers for a time.
-func (r *Run) writeForeign(for_ time.Duration) {
+// writeForeign adds another writer's rows to the table of workers for a time.
+func (r *Run) writeForeign(duration time.Duration) {
 	keys, err := r.platform.WriteForeign("foreign-")
 	if err != nil {
-		r.breakPromise("the harness: %v", err)
+		r.recordViolation("test harness: %v", err)
 	}
-	time.Sleep(for_)
+	time.Sleep(duration)
 	if err := r.platform.Remove(keys); err != nil {
-		r.breakPromise("the harness: %v", err)
+		r.recordViolation("test harness: %v", err)
 	}
 }
 
-// hangUp must end nothing.
-func (r *Run) hangUp(p *process) {
-	if !p.lock() {
+// reload sends SIGHUP and checks that the process keeps running.
+func (r *Run) reload(p *process) {
+	if !p.beginFault() {
 		return
 	}
-	defer p.unlock()
+	defer p.endFault()
 	p.signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond)
-	if p.ended() {
-		r.breakPromise("%s has ended after SIGHUP", p.name)
+	if p.exited() {
+		r.recordViolation("%s exited after SIGHUP", p.name)
 		r.restart(p)
 	}
 }
 
-func (r *Run) disturb(proxy *faultproxy.Proxy, source netip.Addr, f faultproxy.Fault, for_ time.Duration) {
+func (r *Run) injectProxyFault(proxy *faultproxy.Proxy, source netip.Addr, f faultproxy.Fault, duration time.Duration) {
 	proxy.Set(source, f)
-	time.Sleep(for_)
+	time.Sleep(duration)
 	proxy.Set(source, faultproxy.Fault{})
 }
 
-// worker puts a worker into a condition for a time.
-func (r *Run) worker(id serving.EndpointID, condition fleetstandin.Condition, for_ time.Duration) {
+// injectWorkerFault sets a worker's condition for a time.
+func (r *Run) injectWorkerFault(id serving.EndpointID, condition fleetstandin.Condition, duration time.Duration) {
 	r.platform.Fleet.Set(id, condition)
-	time.Sleep(for_)
+	time.Sleep(duration)
 	r.platform.Fleet.Set(id, fleetstandin.Well)
 }
 
-func (r *Run) store(f memtable.Faults, for_ time.Duration) {
+func (r *Run) injectStoreFault(f memtable.Faults, duration time.Duration) {
 	r.platform.Table.SetFaults(f)
-	time.Sleep(for_)
+	time.Sleep(duration)
 	r.platform.Table.SetFaults(memtable.Faults{})
 }
 
-// heal takes all faults away.
+// heal removes all faults of the store, the fleet and the proxies.
 func (r *Run) heal() {
 	r.platform.Table.SetFaults(memtable.Faults{})
 	r.platform.Fleet.SetLate(func() time.Duration { return 0 })
@@ -388,11 +392,11 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.healed = time.Now()
+	r.healedAt = time.Now()
 }
 
-// isCalm reports whether all faults had been over for the grace at a moment; the caller
-// holds the lock.
-func (r *Run) isCalm(at time.Time) bool {
-	return !r.healed.IsZero() && at.Sub(r.healed) > crashBound.Grace
+// isFaultFree reports whether all faults ended at least the grace before a time; r.mu must be
+// held.
+func (r *Run) isFaultFree(at time.Time) bool {
+	return !r.healedAt.IsZero() && at.Sub(r.healedAt) > crashBound.Grace
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,20 +1,20 @@
-// Package soak runs entry instances as real processes on loopback against the
-// emulated platform, injects faults from outside them at random, and checks the
-// promises from what callers and endpoints see.
+// Package soak runs entry instances as real processes on loopback against the emulated
+// platform, injects random faults from outside, and checks invariants from the view of callers
+// and endpoints.
 //
-// Faults: connections to the store and to endpoints are delayed, reset, cut, or
-// silenced one way or for good, by a proxy before each; processes are paused, killed, asked
-// to stop and to reload by signals; the store refuses, falls silent, loses
-// answers, carries writes out late and forgets its history; endpoints die, lose
-// their rows, leave orders unanswered and carry them out late; endpoints crash, of
-// themselves and by requests that come again and again, and start again under their ids;
-// machines are suspended; another writer leaves rows among those of the endpoints;
-// configurations follow each other; endpoints name limits of what they take, ask for cooldowns
-// and leave by their own word; the store comes back from an older copy. Faults come in series
-// and overlap.
+// The faults, which overlap:
 //
-// Before them all entry instances are killed again and again while answers break off, and
-// after them the promises are looked at that hold only where nothing is amiss.
+//   - Proxies delay, reset, cut or silence connections to the store and to endpoints.
+//   - Entry instances are paused, killed, terminated, reloaded and suspended.
+//   - The store rejects calls, stops answering, loses responses, applies writes late, discards
+//     its history and is restored from an older copy.
+//   - Endpoints terminate, lose their rows, apply unanswered orders late, and crash and restart
+//     under their IDs, by themselves and because of repeated requests.
+//   - Endpoints advertise rate limits, cooldowns and draining.
+//   - Another writer adds rows to the table of endpoints, and configurations change.
+//
+// Before these, all entry instances are killed several times while responses are truncated.
+// Afterwards, invariants that hold only without faults are checked.
 package soak
 
 import (
@@ -44,95 +44,93 @@
 // Options of one run.
 type Options struct {
 	Seed uint64
-	// Daemon is the program that is run.
+	// Daemon is the path of the program under test.
 	Daemon string
-	// Dir takes settings and logs.
+	// Dir is the directory for settings and logs.
 	Dir string
-	// Entries in each of the two data centres.
+	// Entries is the number of entry instances in each of the two data centres.
 	Entries int
-	// Workers of the model in each data centre.
+	// Workers is the number of model workers in each data centre.
 	Workers int
-	// Callers that send requests all the time.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Steps are the faults that are injected, one every StepPause.
+	// Steps is the number of faults, one of which is injected every StepPause.
 	Steps     int
 	StepPause time.Duration
 }
 
 const (
-	// stopBound is the settings' bound of a planned stop, and stopSlack what the
-	// process may take beyond it.
+	// stopBound is the bound of a planned stop in the settings, and stopSlack the time that the
+	// process may exceed it by.
 	stopBound = 5 * time.Second
 	stopSlack = 5 * time.Second
-	// calmBound is how long after the last fault every entry instance must
-	// serve again, by the newest configuration.
-	calmBound = 40 * time.Second
+	// recoveryTimeout is the time after the last fault within which every entry instance must
+	// serve again, with the newest configuration.
+	recoveryTimeout = 40 * time.Second
 )
 
-// crashBound is what the users allow of a request that ends endpoints, of nodes that have
-// had no trouble for its grace.
+// crashBound limits the sends of a request that crashes endpoints, when there has been no fault
+// for the grace.
 var crashBound = crashlog.Bound{Ends: 3, Sends: 3, Grace: 3 * time.Second}
 
-// retryBudget is the settings' budget of all entry instances together. Its slack is most of it,
-// as at the start of a day: lives that each took their part of it would go far beyond.
+// retryBudget is the budget of all entry instances together. The slack dominates, so that
+// incarnations that each use their own share of it would exceed the budget.
 var retryBudget = retrylog.Budget{Ratio: 0.05, Slack: 60, Window: 10 * time.Second}
 
-// limitBound is what the users allow an endpoint to get that limits how much it takes.
+// limitBound limits the requests to an endpoint that advertises a rate limit.
 var limitBound = limitlog.Bound{Factor: 1.5, Slack: 5, Window: 4 * time.Second, Grace: 3 * time.Second}
 
-// advisoryBound is what the users allow an endpoint to get that has asked for a cooldown, or
-// has said that it leaves.
+// advisoryBound limits the requests to an endpoint that advertises a cooldown or draining.
 var advisoryBound = advisorylog.Bound{Requests: 2, Grace: 500 * time.Millisecond, Drain: 2 * time.Second}
 
-// process is one entry instance.
+// process is an entry instance.
 type process struct {
-	name     string
-	callers  string
-	metrics  string
-	settings string
-	// suspensions is the file that says for how long its machine was suspended.
-	suspensions string
-	source      netip.Addr
-	log         *os.File
+	name           string
+	callerAddress  string
+	metricsAddress string
+	settingsFile   string
+	// suspensionFile contains the total suspension time of the process's machine.
+	suspensionFile string
+	sourceAddress  netip.Addr
+	logFile        *os.File
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	done    chan struct{}
-	paused  bool
-	// suspended is for how long its machine was suspended in all.
-	suspended time.Duration
+	mu             sync.Mutex
+	command        *exec.Cmd
+	done           chan struct{}
+	faultActive    bool
+	totalSuspended time.Duration
 }
 
-// Run is one run of the soak.
+// Run is a soak test with one seed.
 type Run struct {
 	options  Options
 	platform *emulator.Platform
 	random   *rand.Rand
-	// silences draws which connections fall silent; apart, so that the other faults
-	// of a seed stay what they were.
-	silences *rand.Rand
-	// copies draws when endpoints name limits and the store comes back from a copy.
-	copies *rand.Rand
-	// advisories draws when endpoints shed load and leave.
-	advisories *rand.Rand
-	entries    []*process
-	// proxies stand before the store, the first, and before each endpoint.
-	proxies []*faultproxy.Proxy
-	version uint64
-	// configuring keeps versions in order.
-	configuring sync.Mutex
+	// The sources of the newer kinds of faults are separate, so that a seed draws the same
+	// faults of the other kinds. silenceRandom draws which connections are silenced.
+	silenceRandom *rand.Rand
+	// restoreRandom draws rate limits of endpoints and restores of the store.
+	restoreRandom *rand.Rand
+	// advisoryRandom draws which endpoints reject requests and drain.
+	advisoryRandom *rand.Rand
+	entries        []*process
+	// proxies has the proxy of the store first, then those of the endpoints.
+	proxies              []*faultproxy.Proxy
+	configurationVersion uint64
+	// configureMu serialises configuration changes.
+	configureMu sync.Mutex
 
 	mu sync.Mutex
-	// broken lists the promises that were broken.
-	broken []string
-	// healed is when the last fault was over, zero until then.
-	healed time.Time
-	counts map[string]int
+	// violations lists the violated invariants.
+	violations []string
+	// healedAt is when the last fault ended; zero until then.
+	healedAt time.Time
+	counts   map[string]int
 }
 
-// Start starts the platform and the entry instances.
+// Start starts the platform and the entry instances of a run.
 func Start(o Options) (*Run, error) {
-	r := &Run{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), silences: rand.New(rand.NewPCG(o.Seed, 2)), copies: rand.New(rand.NewPCG(o.Seed, 3)), advisories: rand.New(rand.NewPCG(o.Seed, 4)), version: 1, counts: map[string]int{}}
+	r := &Run{options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), silenceRandom: rand.New(rand.NewPCG(o.Seed, 2)), restoreRandom: rand.New(rand.NewPCG(o.Seed, 3)), advisoryRandom: rand.New(rand.NewPCG(o.Seed, 4)), configurationVersion: 1, counts: map[string]int{}}
 	var err error
 	r.platform, err = emulator.StartPlatform(o.Workers, r)
 	if err != nil {
@@ -153,9 +151,8 @@
 	return r, nil
 }
 
-// Reach implements emulator.Network: it puts a proxy before an address of the platform's.
-// Ports are below those that the kernel gives to connections of others, so that a proxy
-// that is down for a while can listen again.
+// Reach implements emulator.Network: it starts a proxy for an address of the platform. Its port
+// is below the kernel's ephemeral ports, so that a proxy that was down can listen on it again.
 func (r *Run) Reach(address string) (string, error) {
 	listens, err := dev.FreeAddress("127.0.0.1")
 	if err != nil {
@@ -176,12 +173,12 @@
 			continue
 		}
 		if err := proxy.SetDown(refuse); err != nil {
-			r.breakPromise("the harness: proxy %s: %v", reached, err)
+			r.recordViolation("test harness: proxy %s: %v", reached, err)
 		}
 	}
 }
 
-var centres = []string{"north", "south"}
+var dataCentres = []string{"north", "south"}
 
 func (r *Run) addEntry(i int, seeds []string) (*process, string, error) {
 	ip := fmt.Sprintf("127.0.2.%d", i+1)
@@ -190,23 +187,23 @@
 		return nil, "", err
 	}
 	name := fmt.Sprintf("entry-%d", i+1)
-	p := &process{name: name, callers: addresses[0], metrics: addresses[3], source: netip.MustParseAddr(ip),
-		settings: filepath.Join(r.options.Dir, name+".ini"), suspensions: filepath.Join(r.options.Dir, name+".suspended")}
+	p := &process{name: name, callerAddress: addresses[0], metricsAddress: addresses[3], sourceAddress: netip.MustParseAddr(ip),
+		settingsFile: filepath.Join(r.options.Dir, name+".ini"), suspensionFile: filepath.Join(r.options.Dir, name+".suspended")}
 	text := fmt.Sprintf("[interface]\nkind = platform\n[node]\nname = %s\ndata_centre = %s\ndata_centres = %s\nfirst_start = true\n"+
 		"[listen]\ncallers = %s\nready = %s\npeers = %s\nmetrics = %s\n[peers]\nkey = soak-peer-key-0000\nseeds = %s\n"+
 		"[store]\naddress = %s\n[retries]\nratio = %v\nslack = %v\nwindow = %s\nnodes = %d\n[timing]\nstop_notice = 500ms\nstop_bound = %s\n[log]\nlevel = info\n[tests]\nsuspension_file = %s\n",
-		name, centres[i%len(centres)], strings.Join(centres, ","),
-		addresses[0], addresses[1], addresses[2], addresses[3], strings.Join(seeds, ","), r.platform.Store, retryBudget.Ratio, retryBudget.Slack, retryBudget.Window, 2*r.options.Entries, stopBound, p.suspensions)
-	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
+		name, dataCentres[i%len(dataCentres)], strings.Join(dataCentres, ","),
+		addresses[0], addresses[1], addresses[2], addresses[3], strings.Join(seeds, ","), r.platform.Store, retryBudget.Ratio, retryBudget.Slack, retryBudget.Window, 2*r.options.Entries, stopBound, p.suspensionFile)
+	if err := os.WriteFile(p.settingsFile, []byte(text), 0o600); err != nil {
 		return nil, "", err
 	}
-	if p.log, err = os.Create(filepath.Join(r.options.Dir, name+".log")); err != nil {
+	if p.logFile, err = os.Create(filepath.Join(r.options.Dir, name+".log")); err != nil {
 		return nil, "", err
 	}
 	return p, addresses[2], p.start(r.options.Daemon)
 }
 
-// freeAddresses returns addresses that nobody listens on.
+// freeAddresses returns unused addresses.
 func freeAddresses(ip string, n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -222,13 +219,13 @@
 func (p *process) start(daemon string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	command := exec.Command(daemon, "serve", "-settings", p.settings)
-	command.Stdout, command.Stderr = p.log, p.log
+	command := exec.Command(daemon, "serve", "-settings", p.settingsFile)
+	command.Stdout, command.Stderr = p.logFile, p.logFile
 	if err := command.Start(); err != nil {
 		return err
 	}
 	done := make(chan struct{})
-	p.command, p.done, p.paused = command, done, false
+	p.command, p.done, p.faultActive = command, done, false
 	go func() {
 		_ = command.Wait()
 		close(done)
@@ -236,15 +233,15 @@
 	return nil
 }
 
-// signal sends a signal to the process that the soak started.
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.command.Process.Signal(s)
 }
 
-// ended reports whether the process has ended.
-func (p *process) ended() bool {
+// exited reports whether the process has exited.
+func (p *process) exited() bool {
 	p.mu.Lock()
 	done := p.done
 	p.mu.Unlock()
@@ -256,37 +253,37 @@
 	}
 }
 
-// Broken returns the promises that were broken so far.
-func (r *Run) Broken() []string {
+// Violations returns the invariants that were violated so far.
+func (r *Run) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	broken := append(append([]string{}, r.broken...), r.platform.Fleet.Broken()...)
+	violations := append(append([]string{}, r.violations...), r.platform.Fleet.Broken()...)
 	if err := r.platform.RetriesBeyond(retryBudget); err != nil {
-		broken = append(broken, err.Error())
+		violations = append(violations, err.Error())
 	}
-	if err := r.platform.Crashes.Check(crashBound, r.isCalm); err != nil {
-		broken = append(broken, err.Error())
+	if err := r.platform.Crashes.Check(crashBound, r.isFaultFree); err != nil {
+		violations = append(violations, err.Error())
 	}
-	if err := r.platform.Limits.Check(limitBound, r.isCalm); err != nil {
-		broken = append(broken, err.Error())
+	if err := r.platform.Limits.Check(limitBound, r.isFaultFree); err != nil {
+		violations = append(violations, err.Error())
 	}
-	if err := r.platform.Advisories.Check(advisoryBound, r.isCalm); err != nil {
-		broken = append(broken, err.Error())
+	if err := r.platform.Advisories.Check(advisoryBound, r.isFaultFree); err != nil {
+		violations = append(violations, err.Error())
 	}
-	return broken
+	return violations
 }
 
-// Counts returns how often each outcome was seen.
+// Counts returns the number of responses by outcome.
 func (r *Run) Counts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts
 }
 
-func (r *Run) breakPromise(format string, args ...any) {
+func (r *Run) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 func (r *Run) count(what string) {
@@ -295,12 +292,12 @@
 	r.counts[what]++
 }
 
-// Close ends all that the run started.
+// Close terminates all processes, proxies and the platform of the run.
 func (r *Run) Close() {
 	for _, p := range r.entries {
 		p.signal(syscall.SIGKILL)
 		<-p.done
-		_ = p.log.Close()
+		_ = p.logFile.Close()
 	}
 	for _, proxy := range r.proxies {
 		proxy.Close()
@@ -308,11 +305,11 @@
 	r.platform.Close()
 }
 
-// CheckLogs looks for violated invariants, panics and data races in the logs.
+// CheckLogs returns an error for violated invariants, panics and data races in the logs.
 func (r *Run) CheckLogs() error {
 	var errs []error
 	for _, p := range r.entries {
-		text, err := os.ReadFile(p.log.Name())
+		text, err := os.ReadFile(p.logFile.Name())
 		if err != nil {
 			return err
 		}
@@ -325,26 +322,26 @@
 	return errors.Join(errs...)
 }
 
-// configure puts the next version of the configuration into the store.
+// configure writes the next version of the configuration to the store.
 func (r *Run) configure() {
-	r.configuring.Lock()
-	defer r.configuring.Unlock()
-	r.version++
-	if err := r.platform.Configure(r.version, emulator.Models); err != nil {
-		r.breakPromise("configure: %v", err)
+	r.configureMu.Lock()
+	defer r.configureMu.Unlock()
+	r.configurationVersion++
+	if err := r.platform.Configure(r.configurationVersion, emulator.Models); err != nil {
+		r.recordViolation("configure: %v", err)
 	}
 }
 
-// drawEndpoint returns the id of any endpoint.
+// drawEndpoint returns the ID of a random endpoint.
 func (r *Run) drawEndpoint(random *rand.Rand) serving.EndpointID {
-	centre := centres[random.IntN(len(centres))]
+	centre := dataCentres[random.IntN(len(dataCentres))]
 	if random.IntN(3) == 0 {
 		return serving.EndpointID("s-" + centre)
 	}
 	return serving.EndpointID(fmt.Sprintf("m-%s-%d", centre, random.IntN(r.options.Workers)))
 }
 
-// drawWorker returns the id of a model worker.
+// drawWorker returns the ID of a random model worker.
 func (r *Run) drawWorker() serving.EndpointID {
-	return serving.EndpointID(fmt.Sprintf("m-%s-%d", centres[r.random.IntN(len(centres))], r.random.IntN(r.options.Workers)))
+	return serving.EndpointID(fmt.Sprintf("m-%s-%d", dataCentres[r.random.IntN(len(dataCentres))], r.random.IntN(r.options.Workers)))
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -14,16 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// daemon is the program under test.
-var daemon string
+// daemonPath is the path of the program under test.
+var daemonPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		panic(err)
 	}
-	daemon = filepath.Join(dir, "ridgehinged")
-	args := []string{"build", "-o", daemon}
+	daemonPath = filepath.Join(dir, "ridgehinged")
+	args := []string{"build", "-o", daemonPath}
 	if os.Getenv("RIDGEHINGE_RACE") != "" {
 		args = append(args, "-race")
 	}
@@ -36,10 +36,10 @@
 	os.Exit(code)
 }
 
-// regressions are the seeds that ever failed, each with its cause.
+// regressions maps seeds that have failed before to the cause.
 var regressions = map[uint64]string{}
 
-// TestSoak plays a few seeds; SOAK_SEED and SOAK_COUNT play others.
+// TestSoak runs a few seeds, or SOAK_COUNT seeds from SOAK_SEED upwards, and all regressions.
 func TestSoak(t *testing.T) {
 	first, count := uint64(1), 2
 	if text := os.Getenv("SOAK_SEED"); text != "" {
@@ -60,29 +60,30 @@
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { play(t, seed) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runSeed(t, seed) })
 	}
 }
 
-// size is how large a run is: every eighth has many processes.
-func size(seed uint64) (entries, workers int) {
+// clusterSize returns the numbers of entry instances and workers per data centre; every eighth
+// seed runs a large cluster.
+func clusterSize(seed uint64) (entries, workers int) {
 	if seed%8 == 0 {
 		return 9, 12
 	}
 	return 2, 5
 }
 
-// outage is longer than a watch of the configuration takes, so that one is sent into it.
+// outage is longer than a watch of the configuration, so that one is sent during it.
 const outage = 4 * time.Second
 
-// watched is for how long calm is watched after the faults: the bounds have a grace of three
-// seconds, and a request that ends endpoints needs three of them before it must be known.
-const watched = 12 * time.Second
+// advisoryPeriod leaves time for the three seconds of grace and for a crashing request to crash
+// the three endpoints after which it must be quarantined.
+const advisoryPeriod = 12 * time.Second
 
-func play(t *testing.T, seed uint64) {
-	entries, workers := size(seed)
+func runSeed(t *testing.T, seed uint64) {
+	entries, workers := clusterSize(seed)
 	r, err := Start(Options{
-		Seed: seed, Daemon: daemon, Dir: t.TempDir(), Entries: entries, Workers: workers, Callers: 8,
+		Seed: seed, Daemon: daemonPath, Dir: t.TempDir(), Entries: entries, Workers: workers, Callers: 8,
 		Steps: 24, StepPause: 250 * time.Millisecond,
 	})
 	require.NoError(t, err)
@@ -92,37 +93,37 @@
 			keepLogs(t, r, seed)
 		}
 	}()
-	require.NoError(t, r.Calm())
+	require.NoError(t, r.WaitHealthy())
 	ctx, cancel := context.WithCancel(t.Context())
 	var calling sync.WaitGroup
-	calling.Go(func() { r.Call(ctx) })
-	r.Herd()
-	require.NoError(t, r.Calm())
-	calling.Go(func() { r.CallPoison(ctx) })
-	r.Faults()
-	calm := r.Calm()
-	r.Watch(watched)
-	took, unconfigured := r.ConfiguredAfterSilence(outage)
-	tookAfterCopy, lost := r.ConfiguredAfterCopy(outage / 2)
+	calling.Go(func() { r.SendRequests(ctx) })
+	r.KillAllRepeatedly()
+	require.NoError(t, r.WaitHealthy())
+	calling.Go(func() { r.SendCrashingRequests(ctx) })
+	r.InjectFaults()
+	recoveryErr := r.WaitHealthy()
+	r.ExerciseAdvisories(advisoryPeriod)
+	outageDelay, outageErr := r.ConfigureAfterOutage(outage)
+	restoreDelay, restoreErr := r.ConfigureAfterRestore(outage / 2)
 	cancel()
 	calling.Wait()
-	t.Logf("answers: %v; a configuration was in force everywhere %s after an outage and %s after an older copy of the store", r.Counts(), took, tookAfterCopy)
-	require.NoError(t, calm)
-	require.NoError(t, unconfigured)
-	require.NoError(t, lost)
-	require.Empty(t, r.Broken())
+	t.Logf("responses: %v; all entry instances used a new configuration %s after a store outage and %s after a restore of the store", r.Counts(), outageDelay, restoreDelay)
+	require.NoError(t, recoveryErr)
+	require.NoError(t, outageErr)
+	require.NoError(t, restoreErr)
+	require.Empty(t, r.Violations())
 	require.NoError(t, r.CheckLogs())
 	require.Positive(t, r.Counts()["200"])
 }
 
-// keepLogs copies the logs of a failed run to where SOAK_KEEP says.
+// keepLogs copies the logs of a failed run to the directory SOAK_KEEP.
 func keepLogs(t *testing.T, r *Run, seed uint64) {
 	dir := os.Getenv("SOAK_KEEP")
 	if dir == "" {
 		return
 	}
 	for _, p := range r.entries {
-		text, err := os.ReadFile(p.log.Name())
+		text, err := os.ReadFile(p.logFile.Name())
 		if err != nil {
 			continue
 		}
