--- a/lab/integration/whole_test.go
+++ b/lab/integration/cluster_test.go
@@ -16,11 +16,11 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// unfenced returns a data centre whose engines obey any order.
-func unfenced(t *testing.T, engines int) *cluster.Cluster {
+// startUnfenced returns a data centre whose engines accept orders without checking fences.
+func startUnfenced(t *testing.T, engines int) *cluster.Cluster {
 	t.Helper()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	c := cluster.New(t, binaries)
 	for i := range engines {
 		c.AddEndpoint(fleet.Instance{
@@ -36,12 +36,11 @@
 	return c
 }
 
-// Endpoints that do not check who orders them: a frozen controller that wakes
-// up, and an order that comes from nowhere, put no instance into two groups,
-// and the group serves again.
-func TestUnfencedEndpoints(t *testing.T) {
+// Guards against duplicate or unserved groups of endpoints that do not check fences, after a
+// frozen controller is thawed and after an order from an unknown sender.
+func TestEndpoint_WithoutFenceChecks(t *testing.T) {
 	t.Parallel()
-	c := unfenced(t, 6)
+	c := startUnfenced(t, 6)
 	old := c.Controller("kochi")
 	before := c.Groups("kochi")[0]
 	c.Freeze(old.Process)
@@ -52,21 +51,20 @@
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
 	c.Thaw(old.Process)
-	// A late order of nobody's: the member falls out of line.
+	// An order of an unknown sender moves the member to another group.
 	repaired := c.Groups("kochi")[0]
-	stray := member(c, repaired, 1)
-	c.Order(stray, "stray-group", 1)
-	c.Eventually("the group is brought back into line", func() bool {
-		report := c.Report(stray)
+	victim := member(c, repaired, 1)
+	c.Order(victim, "stray-group", 1)
+	c.Eventually("the member is returned to its group", func() bool {
+		report := c.Report(victim)
 		return report.Group == repaired.ID && report.Phase == fleet.PhaseReady && len(other.Serving("wallet")) == 1
 	})
-	assertWhole(t, other.Send(cluster.Chat(walletKey, "in line", 8)), "in line", 8)
+	assertComplete(t, other.Send(cluster.Chat(walletKey, "in line", 8)), "in line", 8)
 	require.Len(t, c.Groups("kochi"), 1)
 }
 
-// Everything is replaced at once: all entry instances are killed and started
-// anew while the endpoints live on. They take up what the table has.
-func TestEverythingReplaced(t *testing.T) {
+// When all entry instances restart at once, they keep the groups that the table lists.
+func TestEntry_AllRestarted(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	before := c.Groups("kochi")[0]
@@ -80,16 +78,16 @@
 	c.WaitServing("tvm", "wallet", 1)
 	after := c.Groups("kochi")
 	require.Len(t, after, 1)
-	assert.Equal(t, before.ID, after[0].ID, "a group that was whole all the time is kept")
+	assert.Equal(t, before.ID, after[0].ID, "a complete group was not kept")
 	assert.Equal(t, before.Generation, after[0].Generation)
 	for _, e := range c.Entries {
-		assertWhole(t, e.Send(cluster.Chat(walletKey, "new crew", 8)), "new crew", 8)
+		assertComplete(t, e.Send(cluster.Chat(walletKey, "after the restart", 8)), "after the restart", 8)
 	}
 }
 
-// The platform is out, the controller and a member die together, and the
-// platform loses answers when it is back.
-func TestThreeAtATime(t *testing.T) {
+// The controller and a member crash during a platform outage, after which the platform loses
+// responses: the group must still be repaired, without a second one.
+func TestPlatform_OutageWithCrashes(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	old := c.Controller("kochi")
@@ -99,7 +97,7 @@
 	c.Kill(member(c, before, 3))
 	other := c.Others(old)[0]
 	c.Eventually("the group is out of service", func() bool { return len(other.Serving("wallet")) == 0 })
-	c.Eventually("the other data centre helps out", func() bool {
+	c.Eventually("the other data centre serves a request", func() bool {
 		return other.Send(cluster.Chat(walletKey, "help", 8)).Whole
 	})
 	c.SetPlatformFaults(platformstandin.Faults{LoseAnswers: 3})
@@ -110,8 +108,8 @@
 	require.Len(t, c.Groups("kochi"), 1)
 }
 
-// A version is rolled out group by group while callers are served.
-func TestRollUnderLoad(t *testing.T) {
+// No request fails while a new model version is rolled out.
+func TestRollout_UnderLoad(t *testing.T) {
 	t.Parallel()
 	c := start(t, 8, 1)
 	e := c.Entries[0]
@@ -133,15 +131,15 @@
 		}
 	}()
 	c.Submit(e, strings.Replace(template(1), "model = savings", "model = savings\nversion = 2", 1), 1)
-	c.Eventually("the new version alone serves", func() bool {
+	c.Eventually("only the new version serves", func() bool {
 		groups := c.Groups("kochi")
 		return len(groups) == 1 && groups[0].Weights == "savings@2" && len(e.Serving("wallet")) == 1
 	})
 	close(stop)
-	assert.Empty(t, <-failed, "a request failed while the version was rolled")
+	assert.Empty(t, <-failed, "a request failed during the rollout")
 }
 
-// The operators' tool and the settings check, as a person would use them.
+// Runs the operators' command-line tool against a cluster.
 func TestCommandLine(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
--- a/lab/integration/control_test.go
+++ b/lab/integration/control_test.go
@@ -20,14 +20,13 @@
 
 var bg = context.Background()
 
-var cutBoth = faultproxy.Fault{HoldUp: true, HoldDown: true}
+var silenceBoth = faultproxy.Fault{HoldUp: true, HoldDown: true}
 
 func withCancel() (context.Context, context.CancelFunc) { return context.WithCancel(bg) }
 
-// A controller that is frozen past its lease wakes up and still believes that
-// it holds it. Its successor has changed the groups meanwhile; no instance
-// comes to be in two of them.
-func TestControllerFrozen(t *testing.T) {
+// Guards against an instance in two groups when a controller is frozen beyond its lease, its
+// successor changes the groups, and the old controller is thawed.
+func TestController_ThawedAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	c := start(t, 9, 1)
 	old := c.Controller("kochi")
@@ -40,19 +39,19 @@
 	before := c.Groups("kochi")[0]
 	c.Kill(member(c, before, 1))
 	c.Submit(other, template(2), 1)
-	c.Eventually("the successor repairs and grows", func() bool { return len(other.Serving("wallet")) == 2 })
+	c.Eventually("the successor repairs the group and adds another", func() bool { return len(other.Serving("wallet")) == 2 })
 	c.Thaw(old.Process)
-	c.Eventually("the old controller follows", func() bool {
+	c.Eventually("the old controller accepts its successor", func() bool {
 		s, ok := old.Status()
 		return ok && s.Controller == other.Name && len(old.Serving("wallet")) == 2
 	})
 	require.Len(t, c.Groups("kochi"), 2)
-	assertWhole(t, old.Send(cluster.Chat(walletKey, "awake", 8)), "awake", 8)
+	assertComplete(t, old.Send(cluster.Chat(walletKey, "thawed", 8)), "thawed", 8)
 }
 
-// A controller that is killed is replaced, and the group that lost a member
-// at the same moment is repaired.
-func TestControllerAndMemberKilled(t *testing.T) {
+// Guards against a group staying out of service when its member and the controller crash at the
+// same time.
+func TestController_CrashesWithMember(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	old := c.Controller("tvm")
@@ -64,12 +63,12 @@
 		groups := other.Serving("wallet")
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
-	assertWhole(t, other.Send(cluster.Chat(walletKey, "go on", 8)), "go on", 8)
+	assertComplete(t, other.Send(cluster.Chat(walletKey, "after the repair", 8)), "after the repair", 8)
 }
 
-// Answers of the table that are lost after the write took effect lead to no
-// second group and leak no instance.
-func TestLostCommitAnswers(t *testing.T) {
+// Guards against surplus groups and leaked instances when the response to a commit that took
+// effect is lost.
+func TestPlatform_LosesCommitResponses(t *testing.T) {
 	t.Parallel()
 	c := start(t, 9, 1)
 	c.SetPlatformFaults(platformstandin.Faults{LoseAnswers: 6})
@@ -80,37 +79,36 @@
 	require.Len(t, c.Groups("tvm"), 2)
 }
 
-// With the platform out, requests go on being served, and a member's loss
-// still takes its group out of service. When the platform is back, the group
-// is repaired.
-func TestPlatformOutage(t *testing.T) {
+// During a platform outage requests are still served, and a crashed member takes its group out
+// of service. The group is repaired after the outage.
+func TestPlatform_Outage(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	e := c.Entries[0]
 	c.SetPlatformFaults(platformstandin.Faults{Down: true})
-	c.Eventually("the lease has lapsed", func() bool {
+	c.Eventually("the lease has expired", func() bool {
 		s, ok := e.Status()
 		return ok && s.PlatformAge > 3
 	})
 	for i := range 5 {
-		prompt := fmt.Sprintf("in the dark %d", i)
-		assertWhole(t, e.Send(cluster.Chat(walletKey, prompt, 8)), prompt, 8)
+		prompt := fmt.Sprintf("during the outage %d", i)
+		assertComplete(t, e.Send(cluster.Chat(walletKey, prompt, 8)), prompt, 8)
 	}
 	c.Kill(c.Endpoints[string(e.Serving("wallet")[0].Members[1].Instance)])
 	c.Eventually("the group is out of service", func() bool { return len(e.Serving("wallet")) == 0 })
 	c.SetPlatformFaults(platformstandin.Faults{})
 	c.Eventually("the group is repaired", func() bool { return len(e.Serving("wallet")) == 1 })
-	assertWhole(t, e.Send(cluster.Chat(walletKey, "light again", 8)), "light again", 8)
+	assertComplete(t, e.Send(cluster.Chat(walletKey, "after the outage", 8)), "after the outage", 8)
 }
 
-// An entry instance that starts while the platform is out learns from its
-// peers what is in force and serves it.
-func TestStartWhilePlatformOut(t *testing.T) {
+// Guards against an older configuration, or none, at an entry instance that starts during a
+// platform outage: it must get the current one from its peers.
+func TestPlatform_OutageDuringStart(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
 	revision := c.Submit(c.Entries[0], strings.Replace(template(1), "deadline = 30s", "deadline = 25s", 1), 1)
 	for _, e := range c.Entries {
-		c.Eventually("the revision is in force at "+e.Name, func() bool {
+		c.Eventually("the revision is active at "+e.Name, func() bool {
 			s, ok := e.Status()
 			return ok && s.Configuration == revision
 		})
@@ -119,20 +117,20 @@
 	e := c.Entries[1]
 	c.Kill(e.Process)
 	c.Restart(e.Process)
-	c.Eventually("the fresh instance serves the newest configuration", func() bool {
+	c.Eventually("the restarted instance uses the newest configuration", func() bool {
 		s, ok := e.Status()
 		if !ok {
 			return false
 		}
-		require.Contains(t, []configuration.Revision{0, revision}, s.Configuration, "an older configuration is in force")
+		require.Contains(t, []configuration.Revision{0, revision}, s.Configuration, "an older configuration is active")
 		return s.Configuration == revision && len(e.Serving("wallet")) == 1
 	})
-	assertWhole(t, e.Send(cluster.Chat(walletKey, "fresh", 8)), "fresh", 8)
+	assertComplete(t, e.Send(cluster.Chat(walletKey, "fresh", 8)), "fresh", 8)
 }
 
-// A data centre that is cut off from the platform and from the other one goes
-// on serving, and takes the changes that it missed when it is back.
-func TestDataCentreCut(t *testing.T) {
+// A data centre that is isolated from the platform and the other data centre keeps serving, and
+// applies the missed changes once it is connected again.
+func TestDataCentre_Isolated(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
 	kochi, tvm := c.In("kochi"), c.In("tvm")
@@ -140,11 +138,11 @@
 	cluster.Cut(tvm, cluster.Processes(kochi)...)
 	cluster.Cut(kochi, cluster.Processes(tvm)...)
 	revision := c.Submit(kochi[0], strings.Replace(template(1), "deadline = 30s", "deadline = 26s", 1), 1)
-	c.Eventually("kochi has the change", func() bool {
+	c.Eventually("kochi has applied the change", func() bool {
 		s, ok := kochi[1].Status()
 		return ok && s.Configuration == revision
 	})
-	c.Eventually("tvm has noticed the cut", func() bool {
+	c.Eventually("tvm has detected the partition", func() bool {
 		s, ok := tvm[0].Status()
 		return ok && s.PlatformAge > 3
 	})
@@ -152,22 +150,22 @@
 		s, ok := e.Status()
 		require.True(t, ok)
 		assert.Less(t, s.Configuration, revision)
-		assertWhole(t, e.Send(cluster.Chat(walletKey, "alone", 8)), "alone", 8)
+		assertComplete(t, e.Send(cluster.Chat(walletKey, "isolated", 8)), "isolated", 8)
 	}
 	cluster.Heal(tvm, c.Platform)
 	cluster.Heal(tvm, cluster.Processes(kochi)...)
 	cluster.Heal(kochi, cluster.Processes(tvm)...)
 	for _, e := range tvm {
-		c.Eventually("the change is in force at "+e.Name, func() bool {
+		c.Eventually("the change is active at "+e.Name, func() bool {
 			s, ok := e.Status()
 			return ok && s.Configuration == revision
 		})
 	}
 }
 
-// Operators who race each other on one template: one wins, the others are
-// shown what was changed. Repeating a submission changes nothing.
-func TestOperatorsRace(t *testing.T) {
+// Of concurrent submissions of one template, exactly one is accepted and the others get a
+// conflict with the differences. Retrying the accepted one is idempotent.
+func TestSubmit_ConcurrentOperators(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
 	var wins, conflicts int
@@ -182,17 +180,17 @@
 			defer mu.Unlock()
 			if err == nil {
 				wins++
-				again, err := e.Client().Submit("race.ini", []byte(text), 1, fmt.Sprintf("race-%d", i))
+				retry, err := e.Client().Submit("race.ini", []byte(text), 1, fmt.Sprintf("race-%d", i))
 				assert.NoError(t, err)
-				assert.True(t, again.Repeated)
-				assert.Equal(t, accepted.Revision, again.Revision)
+				assert.True(t, retry.Repeated)
+				assert.Equal(t, accepted.Revision, retry.Revision)
 				return
 			}
-			refused, ok := err.(*operatorapi.Error)
-			if assert.True(t, ok, "%v", err) && assert.Equal(t, http.StatusConflict, refused.Status, refused.Message) {
+			conflict, ok := err.(*operatorapi.Error)
+			if assert.True(t, ok, "%v", err) && assert.Equal(t, http.StatusConflict, conflict.Status, conflict.Message) {
 				conflicts++
-				assert.NotEmpty(t, refused.Conflict.Theirs)
-				assert.NotEmpty(t, refused.Conflict.Yours)
+				assert.NotEmpty(t, conflict.Conflict.Theirs)
+				assert.NotEmpty(t, conflict.Conflict.Yours)
 			}
 		})
 	}
@@ -201,20 +199,20 @@
 	assert.Equal(t, 7, conflicts)
 }
 
-// An entry instance that stops finishes what it has, and others see it go.
-func TestPlannedStop(t *testing.T) {
+// A planned stop completes the streams in flight, and another instance takes over the lease.
+func TestEntry_PlannedStop(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1, "-token-time", "15ms")
 	e := c.Controller("kochi")
 	var answers []chan cluster.Answer
 	for i := range 5 {
-		begun, answer := stream(e, cluster.Chat(walletKey, fmt.Sprintf("stop %d", i), 200))
-		<-begun
+		started, answer := startStream(e, cluster.Chat(walletKey, fmt.Sprintf("stop %d", i), 200))
+		<-started
 		answers = append(answers, answer)
 	}
 	stopped := c.Terminate(e.Process)
 	for i, answer := range answers {
-		assertWhole(t, <-answer, fmt.Sprintf("stop %d", i), 200)
+		assertComplete(t, <-answer, fmt.Sprintf("stop %d", i), 200)
 	}
 	require.NoError(t, <-stopped)
 	for _, other := range c.In("kochi") {
@@ -225,31 +223,29 @@
 			s, ok := other.Status()
 			return ok && s.Controller == other.Name
 		})
-		assertWhole(t, other.Send(cluster.Chat(walletKey, "next", 8)), "next", 8)
+		assertComplete(t, other.Send(cluster.Chat(walletKey, "next", 8)), "next", 8)
 	}
 }
 
-// A data centre without a whole group has its requests run in the other one,
-// through an entry instance there.
-func TestForwarded(t *testing.T) {
+// Requests of a data centre without a complete group are forwarded to the other data centre.
+func TestRequest_ForwardedToOtherDataCentre(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
 	c.Kill(member(c, c.Groups("tvm")[0], 0))
 	e := c.In("tvm")[0]
 	c.Eventually("the group is out of service", func() bool { return len(e.Serving("wallet")) == 0 })
-	c.Eventually("a request is served by the other data centre", func() bool {
-		return e.Send(cluster.Chat(walletKey, "far away", 8)).Whole
+	c.Eventually("the other data centre serves a request", func() bool {
+		return e.Send(cluster.Chat(walletKey, "forwarded", 8)).Whole
 	})
 	for i := range 5 {
-		prompt := fmt.Sprintf("far away %d", i)
-		assertWhole(t, e.Send(cluster.Chat(walletKey, prompt, 16)), prompt, 16)
+		prompt := fmt.Sprintf("forwarded %d", i)
+		assertComplete(t, e.Send(cluster.Chat(walletKey, prompt, 16)), prompt, 16)
 	}
 }
 
-// One entry instance is cut off from the endpoints only: it must not go on
-// sending to groups on old evidence of its own, but its peers' evidence is as
-// good.
-func TestWatcherCut(t *testing.T) {
+// An entry instance that is isolated from the endpoints alone must not cause a repair of healthy
+// groups, and its peer still serves.
+func TestEntry_IsolatedFromEndpoints(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	e := c.In("kochi")[0]
@@ -262,23 +258,24 @@
 	}
 	group := c.Groups("kochi")[0]
 	other := c.In("kochi")[1]
-	assertWhole(t, other.Send(cluster.Chat(walletKey, "through the other", 8)), "through the other", 8)
+	assertComplete(t, other.Send(cluster.Chat(walletKey, "through the other", 8)), "through the other", 8)
 	require.Equal(t, group.Generation, c.Groups("kochi")[0].Generation)
 	for _, p := range endpoints {
 		p.Proxy.Heal()
 	}
-	c.Eventually("it serves again", func() bool {
+	c.Eventually("the isolated entry instance serves again", func() bool {
 		a := e.Send(cluster.Chat(walletKey, "healed", 4))
 		return a.Whole
 	})
 }
 
-// The controller is cut off from the table in one direction only: either its
-// questions do not arrive, or the answers do not, though writes take effect.
-func TestOneWayCutFromTheTable(t *testing.T) {
+// Guards against a stalled repair when the controller is partitioned from the table in one
+// direction: either its requests are not delivered, or only the responses, so that writes take
+// effect.
+func TestController_OneWayPartitionFromTable(t *testing.T) {
 	for name, fault := range map[string]faultproxy.Fault{
-		"questions held": {HoldUp: true},
-		"answers held":   {HoldDown: true},
+		"requests lost":  {HoldUp: true},
+		"responses lost": {HoldDown: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -292,24 +289,23 @@
 				groups := other.Serving("wallet")
 				return len(groups) == 1 && groups[0].Generation > before.Generation
 			})
-			c.Eventually("the cut controller learns of it from its peer", func() bool {
+			c.Eventually("the partitioned controller gets the repair from its peer", func() bool {
 				groups := old.Serving("wallet")
 				return len(groups) == 1 && groups[0].Generation > before.Generation
 			})
 			c.Platform.Proxy.Heal()
-			c.Eventually("it follows the new controller", func() bool {
+			c.Eventually("it accepts the new controller", func() bool {
 				s, ok := old.Status()
 				return ok && s.Controller == other.Name
 			})
 			require.Len(t, c.Groups("kochi"), 1)
-			assertWhole(t, old.Send(cluster.Chat(walletKey, "one way", 8)), "one way", 8)
+			assertComplete(t, old.Send(cluster.Chat(walletKey, "one way", 8)), "one way", 8)
 		})
 	}
 }
 
-// Entry instances that hear each other in one direction only still agree on
-// what serves.
-func TestOneWayCutBetweenPeers(t *testing.T) {
+// Entry instances with a one-way partition between them still agree on the serving groups.
+func TestEntry_OneWayPartitionBetweenPeers(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	a, b := c.In("kochi")[0], c.In("kochi")[1]
@@ -321,7 +317,7 @@
 			groups := e.Serving("wallet")
 			return len(groups) == 1 && groups[0].Generation > before.Generation
 		})
-		assertWhole(t, e.Send(cluster.Chat(walletKey, "half deaf", 8)), "half deaf", 8)
+		assertComplete(t, e.Send(cluster.Chat(walletKey, "one-way partition", 8)), "one-way partition", 8)
 	}
 	a.Proxy.Heal()
 	require.Len(t, c.Groups("kochi"), 1)
--- a/lab/integration/integration_test.go
+++ b/lab/integration/integration_test.go
@@ -1,5 +1,4 @@
-// Package integration runs real processes behind fault-injecting proxies and
-// checks the promises under failure.
+// Package integration tests clusters of real processes behind fault-injecting proxies.
 package integration
 
 import (
@@ -33,16 +32,15 @@
 	return m.Run()
 }
 
-// places bounds the clusters that run at once, so that a small machine has
-// time for each process.
-var places = make(chan struct{}, 3)
+// clusterSlots limits concurrent clusters, so that a small machine has time for each process.
+var clusterSlots = make(chan struct{}, 3)
 
 const (
 	walletKey = "wallet-workspace-key"
 	noticeKey = "notice-workspace-key"
 )
 
-// template returns a template of so many groups of four in each data centre.
+// template returns a template with the given number of groups of four in each data centre.
 func template(groups int) string {
 	return fmt.Sprintf(`
 [template]
@@ -72,12 +70,12 @@
 deadline = 20s
 `
 
-// start returns two data centres with two entry instances each, engines and
-// a plain service, and both templates in force.
+// start returns a cluster of two data centres, each with two entry instances, engines and a
+// plain service, once both templates are served.
 func start(t *testing.T, engines, groups int, args ...string) *cluster.Cluster {
 	t.Helper()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	c := cluster.New(t, binaries)
 	for _, dc := range []string{"kochi", "tvm"} {
 		c.AddEngines(dc, dc+"-rack", engines, args...)
@@ -102,7 +100,7 @@
 	return c
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequest_ServedByAllEntries(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
 	for i, e := range c.Entries {
--- a/lab/integration/once_test.go
+++ b/lab/integration/once_test.go
@@ -14,7 +14,7 @@
 	"github.com/ridgehinge/ridgehinge/lab/cluster"
 )
 
-func payout(key string) cluster.Call {
+func payoutCall(key string) cluster.Call {
 	return cluster.Call{
 		Key:    noticeKey,
 		Path:   "/services/notices/pay",
@@ -23,9 +23,9 @@
 	}
 }
 
-// checkOnce checks that a key ran at most once, and that every answer told
-// the truth about it.
-func checkOnce(t *testing.T, c *cluster.Cluster, key string, answers []cluster.Answer) (served int) {
+// assertAtMostOnce checks that a key ran at most once and that the outcome of every answer is
+// accurate. It returns the number of complete answers.
+func assertAtMostOnce(t *testing.T, c *cluster.Cluster, key string, answers []cluster.Answer) (served int) {
 	t.Helper()
 	runs := c.Runs(key)
 	assert.LessOrEqual(t, runs, 1, key)
@@ -41,8 +41,8 @@
 	return served
 }
 
-// The same key at all entry instances at once runs once.
-func TestSameKeyEverywhere(t *testing.T) {
+// Concurrent calls with the same key at all entry instances run once.
+func TestClaim_SameKeyAtAllEntries(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
 	c.SetPlatformFaults(platformstandin.Faults{LoseAnswers: 10})
@@ -51,48 +51,48 @@
 		answers := make([]cluster.Answer, 2*len(c.Entries))
 		var all sync.WaitGroup
 		for j := range answers {
-			all.Go(func() { answers[j] = c.Entries[j%len(c.Entries)].Send(payout(key)) })
+			all.Go(func() { answers[j] = c.Entries[j%len(c.Entries)].Send(payoutCall(key)) })
 		}
 		all.Wait()
-		served := checkOnce(t, c, key, answers)
+		served := assertAtMostOnce(t, c, key, answers)
 		assert.Equal(t, 1, served, key)
 	}
 }
 
-// With the platform out a claim cannot be made: the call is refused at once
-// as not run, and the same key works when the platform is back.
-func TestClaimWhilePlatformOut(t *testing.T) {
+// During a platform outage no claim can be made: the call is rejected as not run, and the same
+// key works after the outage.
+func TestClaim_PlatformOutage(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
 	c.SetPlatformFaults(platformstandin.Faults{Down: true})
-	a := c.Entries[0].Send(payout("dark"))
+	a := c.Entries[0].Send(payoutCall("outage"))
 	assert.Equal(t, 503, a.Status, a.Body)
 	assert.Equal(t, "not-run", a.Outcome)
 	assert.NotEmpty(t, a.RetryAfter)
-	assert.Zero(t, c.Runs("dark"))
+	assert.Zero(t, c.Runs("outage"))
 	c.SetPlatformFaults(platformstandin.Faults{})
-	c.Eventually("the same key works again", func() bool { return c.Entries[1].Send(payout("dark")).Whole })
-	assert.Equal(t, 1, c.Runs("dark"))
+	c.Eventually("the same key works again", func() bool { return c.Entries[1].Send(payoutCall("outage")).Whole })
+	assert.Equal(t, 1, c.Runs("outage"))
 }
 
-// An entry instance is killed while a call is under way; repeating the key
-// elsewhere does not run it again.
-func TestKilledWithClaim(t *testing.T) {
+// When an entry instance is killed with calls in flight, retries of their keys at another
+// instance must not run them a second time.
+func TestClaim_EntryKilled(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
-	slow := c.Endpoints["notices-kochi"]
-	c.Kill(slow)
-	// A key that met the dead endpoint is spent, so each try has its own.
-	tries := 0
+	service := c.Endpoints["notices-kochi"]
+	c.Kill(service)
+	// A key that was sent to the crashed endpoint stays claimed, so each attempt uses a new one.
+	attempts := 0
 	c.Eventually("the call goes to the other data centre", func() bool {
-		tries++
-		return c.Entries[0].Send(payout(fmt.Sprintf("elsewhere-%d", tries))).Whole
+		attempts++
+		return c.Entries[0].Send(payoutCall(fmt.Sprintf("elsewhere-%d", attempts))).Whole
 	})
-	c.Restart(slow)
-	c.Eventually("the service is back", func() bool {
+	c.Restart(service)
+	c.Eventually("the service endpoint is available", func() bool {
 		s, ok := c.Entries[0].Status()
 		return ok && slices.ContainsFunc(s.Instances, func(in control.InstanceStatus) bool {
-			return string(in.ID) == slow.Name && in.Fresh
+			return string(in.ID) == service.Name && in.Fresh
 		})
 	})
 	var all sync.WaitGroup
@@ -100,26 +100,26 @@
 	first := make([]cluster.Answer, len(keys))
 	for i := range keys {
 		keys[i] = fmt.Sprintf("killed-%d", i)
-		all.Go(func() { first[i] = c.Entries[0].Send(payout(keys[i])) })
+		all.Go(func() { first[i] = c.Entries[0].Send(payoutCall(keys[i])) })
 	}
 	c.Kill(c.Entries[0].Process)
 	all.Wait()
 	for i, key := range keys {
-		second := c.Entries[1].Send(payout(key))
-		checkOnce(t, c, key, []cluster.Answer{first[i], second})
+		second := c.Entries[1].Send(payoutCall(key))
+		assertAtMostOnce(t, c, key, []cluster.Answer{first[i], second})
 		if second.Outcome == "not-run" {
 			assert.Zero(t, c.Runs(key))
 		}
 	}
 }
 
-// Under kills, freezes and cuts, every answer tells the truth: an answer is
-// whole and its own, and what is called not run did not run.
-func TestTruthUnderFaults(t *testing.T) {
+// Under freezes and partitions of members, complete answers must be correct, truncated streams
+// must end with an error, and requests rejected as not run must not have run.
+func TestOutcome_AccurateUnderFaults(t *testing.T) {
 	t.Parallel()
 	c := start(t, 6, 1, "-token-time", "2ms")
 	type sent struct {
-		mark   string
+		key    string
 		answer cluster.Answer
 	}
 	var mu sync.Mutex
@@ -134,12 +134,12 @@
 					return
 				default:
 				}
-				mark := fmt.Sprintf("truth-%d-%d", worker, i)
-				call := cluster.Chat(walletKey, mark, 40)
-				call.Header = map[string]string{"Idempotency-Key": mark, "Ridgehinge-Timeout-Ms": "8000"}
+				key := fmt.Sprintf("outcome-%d-%d", worker, i)
+				call := cluster.Chat(walletKey, key, 40)
+				call.Header = map[string]string{"Idempotency-Key": key, "Ridgehinge-Timeout-Ms": "8000"}
 				a := c.Entries[worker%len(c.Entries)].Send(call)
 				mu.Lock()
-				all = append(all, sent{mark, a})
+				all = append(all, sent{key, a})
 				mu.Unlock()
 			}
 		})
@@ -150,8 +150,8 @@
 		if round == 0 {
 			c.Freeze(victim)
 		} else {
-			victim.Proxy.Set(c.In("kochi")[0].Source, cutBoth)
-			victim.Proxy.Set(c.In("kochi")[1].Source, cutBoth)
+			victim.Proxy.Set(c.In("kochi")[0].Source, silenceBoth)
+			victim.Proxy.Set(c.In("kochi")[1].Source, silenceBoth)
 		}
 		c.Eventually("the group is repaired", func() bool {
 			groups := c.Entries[0].Serving("wallet")
@@ -171,13 +171,13 @@
 		switch {
 		case s.answer.Whole:
 			served++
-			assert.Equal(t, cluster.Want(s.mark, 40), s.answer.Text, s.mark)
+			assert.Equal(t, cluster.Want(s.key, 40), s.answer.Text, s.key)
 		case s.answer.Outcome == "not-run":
-			assert.Zero(t, c.Runs(s.mark), s.mark)
+			assert.Zero(t, c.Runs(s.key), s.key)
 		case s.answer.Status == 200:
-			assert.True(t, s.answer.Failed, "a stream ended quietly: %s", s.answer.Body)
+			assert.True(t, s.answer.Failed, "a stream ended without an error: %s", s.answer.Body)
 		}
 	}
-	t.Logf("%d of %d requests were served whole", served, len(all))
+	t.Logf("%d of %d requests were served completely", served, len(all))
 	assert.Positive(t, served)
 }
