--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,7 +1,7 @@
 // Package faultproxy is a TCP proxy that injects faults, for tests.
 //
-// It tells connections apart by the IP that they come from, so that one
-// proxy before each process is enough to cut any pair of them.
+// Faults are set by the source IP of a connection, so one proxy in front of
+// each process is enough to partition any pair of processes.
 package faultproxy
 
 import (
@@ -11,19 +11,21 @@
 	"time"
 )
 
-// Fault is what happens to the connections of one source.
+// Fault is the fault of all connections from one source.
 type Fault struct {
-	// Refuse closes connections, old and new, at once.
+	// Refuse closes open connections, and new ones right after they are
+	// accepted.
 	Refuse bool
-	// HoldUp and HoldDown hold the bytes towards and from the target back
-	// until the fault is healed, as TCP does over a cut network.
+	// HoldUp and HoldDown stall the data to and from the target until the
+	// fault is cleared, as a network partition does to TCP.
 	HoldUp   bool
 	HoldDown bool
-	// Delay holds the bytes of both directions back.
+	// Delay is added before each write, in both directions.
 	Delay time.Duration
 }
 
-// Any is the source whose fault holds for all that have none of their own.
+// Any is the source whose fault applies to all sources that were not passed to
+// Set since the last Heal.
 var Any = netip.Addr{}
 
 // Proxy forwards connections to one target.
@@ -36,10 +38,10 @@
 	listener net.Listener
 	faults   map[netip.Addr]Fault
 	conns    map[net.Conn]netip.Addr
-	// silent connections carry nothing more, for good.
-	silent map[net.Conn]bool
-	closed bool
-	done   sync.WaitGroup
+	// stalled connections never carry data again.
+	stalled map[net.Conn]bool
+	closed  bool
+	wg      sync.WaitGroup
 }
 
 // Listen starts a proxy on an address.
@@ -54,17 +56,17 @@
 		target:   target,
 		faults:   map[netip.Addr]Fault{},
 		conns:    map[net.Conn]netip.Addr{},
-		silent:   map[net.Conn]bool{},
+		stalled:  map[net.Conn]bool{},
 	}
-	p.done.Go(func() { p.accept(listener) })
+	p.wg.Go(func() { p.accept(listener) })
 	return p, nil
 }
 
-// Address returns the address that the proxy listens on.
+// Address returns the listen address.
 func (p *Proxy) Address() string { return p.address }
 
-// SetDown has the proxy act as a host on which nothing listens, or ends that: connections
-// are reset, and new ones refused.
+// SetDown stops or restarts the listener. While it is down, new connections are
+// refused; those that were open are closed.
 func (p *Proxy) SetDown(down bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,11 +86,11 @@
 		return err
 	}
 	p.listener = listener
-	p.done.Go(func() { p.accept(listener) })
+	p.wg.Go(func() { p.accept(listener) })
 	return nil
 }
 
-// Set changes the fault of one source; the zero Fault heals it.
+// Set sets the fault of one source; the zero Fault clears it.
 func (p *Proxy) Set(source netip.Addr, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,26 +105,27 @@
 	}
 }
 
-// Silence has the connections that are open now carry nothing more, for good and
-// without a reset, while new ones work.
+// Silence stalls the connections of a source that are open now, permanently and
+// without closing them. New connections work.
 func (p *Proxy) Silence(source netip.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn, from := range p.conns {
 		if source == Any || from == source {
-			p.silent[conn] = true
+			p.stalled[conn] = true
 		}
 	}
 }
 
-// Heal takes all faults away, but for connections that have fallen silent.
+// Heal clears all faults. Connections stalled by Silence stay so.
 func (p *Proxy) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.faults)
 }
 
-// Close ends the proxy and its connections.
+// Close stops the listener, closes all connections and waits for their
+// goroutines.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -133,10 +136,10 @@
 		_ = p.listener.Close()
 	}
 	p.mu.Unlock()
-	p.done.Wait()
+	p.wg.Wait()
 }
 
-func (p *Proxy) fault(source netip.Addr) Fault {
+func (p *Proxy) faultOf(source netip.Addr) Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if f, ok := p.faults[source]; ok {
@@ -151,29 +154,29 @@
 		if err != nil {
 			return
 		}
-		p.done.Go(func() { p.serve(conn) })
+		p.wg.Go(func() { p.serve(conn) })
 	}
 }
 
-func (p *Proxy) serve(down net.Conn) {
-	defer down.Close()
-	source := netip.MustParseAddrPort(down.RemoteAddr().String()).Addr()
-	if p.fault(source).Refuse {
+func (p *Proxy) serve(downstream net.Conn) {
+	defer downstream.Close()
+	source := netip.MustParseAddrPort(downstream.RemoteAddr().String()).Addr()
+	if p.faultOf(source).Refuse {
 		return
 	}
-	up, err := net.Dial("tcp", p.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer up.Close()
-	if !p.track(source, down, up) {
+	defer upstream.Close()
+	if !p.track(source, downstream, upstream) {
 		return
 	}
-	defer p.forget(down, up)
-	var both sync.WaitGroup
-	both.Go(func() { p.pipe(up, down, source, func(f Fault) bool { return f.HoldUp }) })
-	both.Go(func() { p.pipe(down, up, source, func(f Fault) bool { return f.HoldDown }) })
-	both.Wait()
+	defer p.untrack(downstream, upstream)
+	var pipes sync.WaitGroup
+	pipes.Go(func() { p.pipe(upstream, downstream, source, func(f Fault) bool { return f.HoldUp }) })
+	pipes.Go(func() { p.pipe(downstream, upstream, source, func(f Fault) bool { return f.HoldDown }) })
+	pipes.Wait()
 }
 
 func (p *Proxy) track(source netip.Addr, conns ...net.Conn) bool {
@@ -188,26 +191,28 @@
 	return true
 }
 
-func (p *Proxy) forget(conns ...net.Conn) {
+func (p *Proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
 		delete(p.conns, conn)
-		delete(p.silent, conn)
+		delete(p.stalled, conn)
 	}
 }
 
-// holdPoll is how often a held direction is looked at again.
-const holdPoll = 5 * time.Millisecond
+// stallPollInterval is the interval at which a stalled direction checks
+// whether it may resume.
+const stallPollInterval = 5 * time.Millisecond
 
-// pipe copies one direction until it ends, and then ends the other.
-func (p *Proxy) pipe(to, from net.Conn, source netip.Addr, held func(Fault) bool) {
+// pipe copies one direction until an error or EOF and then closes both
+// connections, which ends the other direction.
+func (p *Proxy) pipe(to, from net.Conn, source netip.Addr, stalls func(Fault) bool) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		p.wait(from, source, held)
+		p.applyFault(from, source, stalls)
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
@@ -219,26 +224,27 @@
 	}
 }
 
-// wait delays a direction, for as long as it is held.
-func (p *Proxy) wait(from net.Conn, source netip.Addr, held func(Fault) bool) {
-	f := p.fault(source)
+// applyFault blocks for the delay and then for as long as the direction is
+// stalled.
+func (p *Proxy) applyFault(from net.Conn, source netip.Addr, stalls func(Fault) bool) {
+	f := p.faultOf(source)
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	for (held(f) || p.isSilent(from)) && p.open(from) {
-		time.Sleep(holdPoll)
-		f = p.fault(source)
+	for (stalls(f) || p.isStalled(from)) && p.isTracked(from) {
+		time.Sleep(stallPollInterval)
+		f = p.faultOf(source)
 	}
 }
 
-func (p *Proxy) isSilent(conn net.Conn) bool {
+func (p *Proxy) isStalled(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silent[conn]
+	return p.stalled[conn]
 }
 
-// open reports whether a connection still matters to the proxy.
-func (p *Proxy) open(conn net.Conn) bool {
+// isTracked reports whether a connection is in use and the proxy is not closed.
+func (p *Proxy) isTracked(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, ok := p.conns[conn]
--- a/lab/faultproxy/silence_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Open connections fall silent without a reset, and new ones work.
-func TestOpenConnectionsFallSilent(t *testing.T) {
+// Guards against Silence closing connections, affecting new ones, or being
+// undone by Heal.
+func TestProxy_StallsOnlyOpenConnections(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer target.Close()
@@ -26,24 +27,24 @@
 	proxy, err := Listen("127.0.0.1:0", target.Addr().String())
 	require.NoError(t, err)
 	defer proxy.Close()
-	echo := func(conn net.Conn, patience time.Duration) error {
+	echo := func(conn net.Conn, wait time.Duration) error {
 		if _, err := conn.Write([]byte("x")); err != nil {
 			return err
 		}
-		_ = conn.SetReadDeadline(time.Now().Add(patience))
+		_ = conn.SetReadDeadline(time.Now().Add(wait))
 		_, err := conn.Read(make([]byte, 1))
 		return err
 	}
-	old, err := net.Dial("tcp", proxy.Address())
+	existing, err := net.Dial("tcp", proxy.Address())
 	require.NoError(t, err)
-	defer old.Close()
-	require.NoError(t, echo(old, 10*time.Second))
+	defer existing.Close()
+	require.NoError(t, echo(existing, 10*time.Second))
 	proxy.Silence(Any)
 	var timeout net.Error
-	require.ErrorAs(t, echo(old, 100*time.Millisecond), &timeout)
+	require.ErrorAs(t, echo(existing, 100*time.Millisecond), &timeout)
 	require.True(t, timeout.Timeout())
 	proxy.Heal()
-	require.ErrorAs(t, echo(old, 100*time.Millisecond), &timeout, "for good")
+	require.ErrorAs(t, echo(existing, 100*time.Millisecond), &timeout, "Heal must not resume a stalled connection")
 	fresh, err := net.Dial("tcp", proxy.Address())
 	require.NoError(t, err)
 	defer fresh.Close()
