--- a/lab/cluster/call.go
+++ b/lab/cluster/call.go
@@ -14,7 +14,7 @@
 	"github.com/ridgehinge/ridgehinge/internal/standin/enginestandin"
 )
 
-// Call is one request as a caller sends it.
+// Call is one request from a caller.
 type Call struct {
 	Key    string
 	Path   string
@@ -22,43 +22,44 @@
 	Header map[string]string
 }
 
-// Answer is what the caller got.
+// Answer is the response to a Call.
 type Answer struct {
 	Status  int
 	Outcome string
 	Body    string
-	// Text is the joined content of a chat answer.
+	// Text is the concatenated content of a chat response.
 	Text string
-	// Whole is set when the answer said that it was whole.
+	// Whole is set for a stream that ended with [DONE], and for any other
+	// response that was read completely with status 200.
 	Whole bool
-	// Failed is set by an error event in a stream.
+	// Failed is set if the stream contained an error event.
 	Failed     bool
 	RetryAfter string
-	// Err is an error of the connection itself.
+	// Err is a transport error.
 	Err error
 }
 
-// callTimeout bounds a call whose answer never comes; no test relies on it.
-const callTimeout = 60 * time.Second
+// sendTimeout keeps a call without a response from blocking a test.
+const sendTimeout = 60 * time.Second
 
-// Chat returns a streamed chat call.
+// Chat returns a streaming chat completion call.
 func Chat(key, prompt string, tokens int) Call {
 	body := fmt.Sprintf(`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, prompt)
 	return Call{Key: key, Path: "/v1/chat/completions", Body: body}
 }
 
-// Want returns the whole answer that the stand-in gives to Chat.
+// Want returns the complete text that the stand-in generates for Chat.
 func Want(prompt string, tokens int) string {
 	return enginestandin.Answer("user:"+prompt+"\n", tokens)
 }
 
-// Send sends a call to an entry instance and reads the answer to its end.
+// Send sends a call to an entry instance and reads the complete response.
 func (e *Entry) Send(call Call) Answer { return e.SendContext(context.Background(), call, nil) }
 
-// SendContext is Send with a context and a function that is called with the
-// text so far after each token.
+// SendContext is Send with a context and an optional callback, which gets the
+// text received so far after each token.
 func (e *Entry) SendContext(ctx context.Context, call Call, progress func(string)) Answer {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Callers+call.Path, strings.NewReader(call.Body))
 	if err != nil {
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -1,8 +1,8 @@
 // Package cluster runs entry instances and stand-ins as real processes, each
 // behind a fault-injecting proxy, for integration tests.
 //
-// Every process has a loopback IP of its own, so that a proxy can tell who
-// connects to it.
+// Each entry instance has its own loopback IP, by which the proxies identify
+// the source of a connection.
 package cluster
 
 import (
@@ -24,33 +24,33 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Keys of the test clusters.
+// API keys of the test clusters.
 const (
 	OperatorKey = "test-operator-key-00"
 	peerKey     = "test-peer-key-000000"
 )
 
-// WaitBound is how long a condition may take to come about.
-const WaitBound = 40 * time.Second
+const eventuallyTimeout = 40 * time.Second
 
 const pollInterval = 20 * time.Millisecond
 
-// Process is one process and the proxy before it.
+// Process is a process with a proxy in front of it.
 type Process struct {
 	Name  string
 	Proxy *faultproxy.Proxy
-	// Source is the IP that the process's own connections leave from; it is
-	// only valid for entry instances.
+	// Source is the source IP of the process's outgoing connections. It is
+	// set for entry instances only.
 	Source  netip.Addr
 	Address string
 	args    []string
 	binary  string
-	command *exec.Cmd
+	cmd     *exec.Cmd
 	log     *os.File
 	running bool
 }
 
-// T is what a cluster needs of a test; the load tool brings its own.
+// T is the part of testing.TB that a cluster uses. The load tool has its own
+// implementation.
 type T interface {
 	require.TestingT
 	Helper()
@@ -71,22 +71,24 @@
 	Entries   []*Entry
 	Endpoints map[string]*Process
 	instances map[string]fleet.Instance
-	// Control has a line of its own to the platform, without faults.
-	Control *platform.Client
-	nextIP  byte
-	// Tuning replaces the quick settings that tests run with.
+	// PlatformClient bypasses the platform's proxy and so its faults.
+	PlatformClient *platform.Client
+	lastIP         byte
+	// Tuning is the settings text of the daemons after the addresses and
+	// keys; New sets short timeouts for tests.
 	Tuning string
-	// requests numbers the submissions.
-	requests int
+	// submissions numbers the request ids of Submit.
+	submissions int
 }
 
-// Binaries are the programs that clusters run.
+// Binaries are the paths of the executables that a cluster runs.
 type Binaries struct {
 	Daemon  string
 	StandIn string
 }
 
-// Build builds the programs into a folder. It is called once, from TestMain.
+// Build compiles the executables into dir. If race is set, the daemon has the
+// race detector enabled.
 func Build(dir string, race bool) (Binaries, error) {
 	b := Binaries{filepath.Join(dir, "ridgehinged"), filepath.Join(dir, "standin")}
 	targets := map[string]string{
@@ -106,23 +108,23 @@
 	return b, nil
 }
 
-// New starts a platform stand-in.
+// New returns a cluster of one process, a platform stand-in.
 func New(t T, b Binaries) *Cluster {
 	t.Helper()
 	c := &Cluster{
 		t:         t,
 		dir:       t.TempDir(),
 		binaries:  b,
-		Tuning:    tuning,
+		Tuning:    testTuning,
 		Endpoints: map[string]*Process{},
 		instances: map[string]fleet.Instance{},
 	}
-	t.Cleanup(c.stop)
+	t.Cleanup(c.cleanUp)
 	address := c.freeAddress("127.0.0.1")
-	c.Platform = c.start("platform", address, b.StandIn, "platform", "-listen", address)
-	c.Control = platform.New(platform.Options{Address: address, Timeout: 2 * time.Second})
-	c.Eventually("the platform answers", func() bool {
-		_, _, err := c.Control.Instances(t.Context(), "", 0)
+	c.Platform = c.startWithProxy("platform", address, b.StandIn, "platform", "-listen", address)
+	c.PlatformClient = platform.New(platform.Options{Address: address, Timeout: 2 * time.Second})
+	c.Eventually("the platform responds", func() bool {
+		_, _, err := c.PlatformClient.Instances(t.Context(), "", 0)
 		return err == nil
 	})
 	return c
@@ -134,15 +136,14 @@
 	return address
 }
 
-// start runs a process with a proxy before its address.
-func (c *Cluster) start(name, address, binary string, args ...string) *Process {
-	p := c.prepare(name, address, binary, args...)
-	c.run(p)
+func (c *Cluster) startWithProxy(name, address, binary string, args ...string) *Process {
+	p := c.newProcess(name, address, binary, args...)
+	c.launch(p)
 	return p
 }
 
-// prepare sets the proxy of a process up without starting the process.
-func (c *Cluster) prepare(name, address, binary string, args ...string) *Process {
+// newProcess creates a process and its proxy without starting the process.
+func (c *Cluster) newProcess(name, address, binary string, args ...string) *Process {
 	log, err := os.Create(filepath.Join(c.dir, name+".log"))
 	require.NoError(c.t, err)
 	proxy, err := faultproxy.Listen("127.0.0.1:0", address)
@@ -150,51 +151,52 @@
 	return &Process{Name: name, Proxy: proxy, Address: address, binary: binary, args: args, log: log}
 }
 
-func (c *Cluster) run(p *Process) {
-	p.command = exec.Command(p.binary, p.args...)
-	p.command.Stdout = p.log
-	p.command.Stderr = p.log
-	require.NoError(c.t, p.command.Start())
+func (c *Cluster) launch(p *Process) {
+	p.cmd = exec.Command(p.binary, p.args...)
+	p.cmd.Stdout = p.log
+	p.cmd.Stderr = p.log
+	require.NoError(c.t, p.cmd.Start())
 	p.running = true
 }
 
-// PID returns the process's number.
-func (p *Process) PID() int { return p.command.Process.Pid }
+// PID returns the process id.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Kill ends a process at once.
+// Kill sends SIGKILL to a running process and waits for its exit.
 func (c *Cluster) Kill(p *Process) {
 	if !p.running {
 		return
 	}
 	p.running = false
-	_ = p.command.Process.Signal(syscall.SIGKILL)
-	_ = p.command.Wait()
+	_ = p.cmd.Process.Signal(syscall.SIGKILL)
+	_ = p.cmd.Wait()
 }
 
 // Restart starts a process again after Kill or Terminate.
-func (c *Cluster) Restart(p *Process) { c.run(p) }
+func (c *Cluster) Restart(p *Process) { c.launch(p) }
 
-// Freeze stops a process as if it had been forgotten; Thaw lets it go on.
+// Freeze suspends a process with SIGSTOP.
 func (c *Cluster) Freeze(p *Process) {
-	require.NoError(c.t, p.command.Process.Signal(syscall.SIGSTOP))
+	require.NoError(c.t, p.cmd.Process.Signal(syscall.SIGSTOP))
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (c *Cluster) Thaw(p *Process) {
-	require.NoError(c.t, p.command.Process.Signal(syscall.SIGCONT))
+	require.NoError(c.t, p.cmd.Process.Signal(syscall.SIGCONT))
 }
 
-// Terminate asks a process to stop; the channel is closed when it has.
+// Terminate sends SIGTERM to a process. The channel receives the result of
+// Wait when the process has exited.
 func (c *Cluster) Terminate(p *Process) <-chan error {
-	require.NoError(c.t, p.command.Process.Signal(syscall.SIGTERM))
+	require.NoError(c.t, p.cmd.Process.Signal(syscall.SIGTERM))
 	p.running = false
 	done := make(chan error, 1)
-	command := p.command
-	go func() { done <- command.Wait() }()
+	cmd := p.cmd
+	go func() { done <- cmd.Wait() }()
 	return done
 }
 
-func (c *Cluster) stop() {
+func (c *Cluster) cleanUp() {
 	for _, e := range c.Entries {
 		c.Kill(e.Process)
 		e.Proxy.Close()
@@ -211,30 +213,30 @@
 	}
 }
 
-// checkLog fails the test if a daemon met a violated invariant, a data race
-// or a panic, and shows the log's end if the test failed for another reason.
+// checkLog fails the test if the process's log reports a violated invariant, a
+// data race or a panic. If the test has failed, it prints the end of the log.
 func (c *Cluster) checkLog(p *Process) {
 	text, err := os.ReadFile(p.log.Name())
 	if err != nil {
 		return
 	}
-	for _, sign := range []string{"invariant: violated", "DATA RACE", "panic:"} {
-		if i := bytes.Index(text, []byte(sign)); i >= 0 {
+	for _, marker := range []string{"invariant: violated", "DATA RACE", "panic:"} {
+		if i := bytes.Index(text, []byte(marker)); i >= 0 {
 			c.t.Errorf("%s: %s", p.Name, text[i:min(len(text), i+3000)])
 		}
 	}
 	if c.t.Failed() && len(text) > 0 {
-		c.t.Logf("the end of %s's log:\n%s", p.Name, text[max(0, len(text)-6000):])
+		c.t.Logf("end of the log of %s:\n%s", p.Name, text[max(0, len(text)-6000):])
 	}
 }
 
-// Eventually waits for a condition; it fails the test after WaitBound.
+// Eventually polls a condition and fails the test after a timeout.
 func (c *Cluster) Eventually(what string, condition func() bool) {
 	c.t.Helper()
-	end := time.Now().Add(WaitBound)
+	deadline := time.Now().Add(eventuallyTimeout)
 	for !condition() {
-		if time.Now().After(end) {
-			c.t.Fatalf("within %s it did not come about that %s", WaitBound, what)
+		if time.Now().After(deadline) {
+			c.t.Fatalf("timed out after %s waiting until %s", eventuallyTimeout, what)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/lab/cluster/endpoint.go
+++ b/lab/cluster/endpoint.go
@@ -14,14 +14,15 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// AddEndpoint starts a model engine or a plain service.
+// AddEndpoint starts a model engine or plain service as a process and lists it
+// on the platform.
 func (c *Cluster) AddEndpoint(in fleet.Instance, args ...string) *Process {
 	address := c.freeAddress("127.0.0.1")
 	all := append([]string{"endpoint", "-listen", address, "-id", string(in.ID)}, args...)
 	if !in.ChecksFences {
 		all = append(all, "-checks-fences=false")
 	}
-	p := c.start(string(in.ID), address, c.binaries.StandIn, all...)
+	p := c.startWithProxy(string(in.ID), address, c.binaries.StandIn, all...)
 	in.Address = p.Proxy.Address()
 	c.Endpoints[string(in.ID)] = p
 	c.Eventually("endpoint "+p.Name+" is up", func() bool {
@@ -32,8 +33,8 @@
 	return p
 }
 
-// HostEndpoint serves an endpoint inside this process, for measurements with
-// more endpoints than a machine should have processes.
+// HostEndpoint serves an endpoint inside this process, without a proxy, for
+// measurements with hundreds of endpoints.
 func (c *Cluster) HostEndpoint(in fleet.Instance, o enginestandin.Options) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
@@ -44,7 +45,7 @@
 	c.PutInstance(in)
 }
 
-// AddEngines starts model engines in one fabric domain.
+// AddEngines starts count model engines in one fabric domain.
 func (c *Cluster) AddEngines(dc, domain string, count int, args ...string) []*Process {
 	var out []*Process
 	for i := range count {
@@ -60,16 +61,16 @@
 	return out
 }
 
-// Instance returns an instance as the platform lists it.
+// Instance returns the instance that was last passed to PutInstance.
 func (c *Cluster) Instance(id string) fleet.Instance { return c.instances[id] }
 
-// PutInstance changes the platform's instance list.
+// PutInstance adds or updates an instance in the platform's list.
 func (c *Cluster) PutInstance(in fleet.Instance) {
 	c.instances[string(in.ID)] = in
 	c.post(c.Platform.Address, "/standin/instance", in)
 }
 
-// SetPlatformFaults switches the platform's own faults.
+// SetPlatformFaults sets the faults that the platform stand-in simulates.
 func (c *Cluster) SetPlatformFaults(f platformstandin.Faults) {
 	c.post(c.Platform.Address, "/standin/faults", f)
 }
--- a/lab/cluster/entry.go
+++ b/lab/cluster/entry.go
@@ -11,17 +11,18 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Entry is one entry instance.
+// Entry is an entry instance.
 type Entry struct {
 	*Process
 	DataCentre string
-	Callers    string
-	Operator   string
+	// Callers and Operator are the addresses of the two APIs.
+	Callers  string
+	Operator string
 }
 
-// tuning makes the daemons quick enough for tests, with room for a busy
-// machine: no wait here is shorter than several scheduling delays.
-const tuning = `
+// testTuning shortens the daemons' intervals and timeouts for tests. They are
+// still several scheduling delays long, so that a busy machine causes no failures.
+const testTuning = `
 [tuning]
 poll = 150ms
 exchange = 150ms
@@ -57,8 +58,8 @@
 
 // AddEntry starts an entry instance.
 func (c *Cluster) AddEntry(name, dc string) *Entry {
-	c.nextIP++
-	ip := fmt.Sprintf("127.0.1.%d", c.nextIP)
+	c.lastIP++
+	ip := fmt.Sprintf("127.0.1.%d", c.lastIP)
 	e := &Entry{
 		DataCentre: dc,
 		Callers:    c.freeAddress(ip),
@@ -66,13 +67,13 @@
 	}
 	address := c.freeAddress(ip)
 	path := filepath.Join(c.dir, name+".ini")
-	e.Process = c.prepare(name, address, c.binaries.Daemon, "serve", "-settings", path)
+	e.Process = c.newProcess(name, address, c.binaries.Daemon, "serve", "-settings", path)
 	e.Source = netip.MustParseAddr(ip)
 	text := fmt.Sprintf("[node]\nname = %s\ndata_centre = %s\n[listen]\ncallers = %s\noperator = %s\npeers = %s\npeers_advertised = %s\n"+
 		"[keys]\npeers = %s\noperator = %s\n[platform]\naddress = %s\n%s",
 		name, dc, e.Callers, e.Operator, address, e.Proxy.Address(), peerKey, OperatorKey, c.Platform.Proxy.Address(), c.Tuning)
 	require.NoError(c.t, os.WriteFile(path, []byte(text), 0o600))
-	c.run(e.Process)
+	c.launch(e.Process)
 	c.Entries = append(c.Entries, e)
 	c.PutInstance(fleet.Instance{
 		ID:         fleet.InstanceID(name),
--- a/lab/cluster/observe.go
+++ b/lab/cluster/observe.go
@@ -17,24 +17,24 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// Client returns an operator's client of an entry instance.
+// Client returns a client of the entry instance's operator API.
 func (e *Entry) Client() *operatorapi.Client {
 	return operatorapi.NewClient(e.Operator, OperatorKey)
 }
 
-// Status returns what an entry instance knows, and false when it gave no
-// answer.
+// Status returns the status of an entry instance, or false if the request
+// failed.
 func (e *Entry) Status() (control.Status, bool) {
 	s, err := e.Client().Status()
 	return s, err == nil
 }
 
-// Submit submits a template through an entry instance, based on a revision.
-// It repeats the submission under one request id until it has an answer.
+// Submit submits a template based on a revision through an entry instance. It
+// retries with the same request id until the template is accepted.
 func (c *Cluster) Submit(e *Entry, text string, base configuration.Revision) configuration.Revision {
 	c.t.Helper()
-	c.requests++
-	requestID := fmt.Sprintf("request-%d", c.requests)
+	c.submissions++
+	requestID := fmt.Sprintf("request-%d", c.submissions)
 	var accepted confstore.Accepted
 	c.Eventually("the template is accepted", func() bool {
 		var err error
@@ -44,7 +44,7 @@
 	return accepted.Revision
 }
 
-// Serving returns the groups of a template that an entry instance may send
+// Serving returns the groups of a template that an entry instance may route
 // requests to.
 func (e *Entry) Serving(template string) []control.GroupStatus {
 	s, ok := e.Status()
@@ -60,8 +60,8 @@
 	return out
 }
 
-// WaitServing waits until the entry instances of a data centre all see so
-// many groups of a template serve.
+// WaitServing waits until each running entry instance of a data centre lists
+// exactly this number of serving groups for a template.
 func (c *Cluster) WaitServing(dc, template string, groups int) {
 	c.t.Helper()
 	c.Eventually(fmt.Sprintf("%d groups of %s serve in %s", groups, template, dc), func() bool {
@@ -74,7 +74,8 @@
 	})
 }
 
-// Runs counts how often requests with a mark have started on any endpoint.
+// Runs returns how many executions of requests with a mark were started, over
+// all running endpoints.
 func (c *Cluster) Runs(mark string) int {
 	total := 0
 	for _, p := range c.Endpoints {
@@ -92,14 +93,14 @@
 	return total
 }
 
-// Report returns what an endpoint says about itself, past its proxy.
+// Report returns an endpoint's report, bypassing its proxy.
 func (c *Cluster) Report(p *Process) fleet.Report {
 	report, err := TryReport(p)
 	require.NoError(c.t, err)
 	return report
 }
 
-// TryReport is Report for an endpoint that may not be up yet.
+// TryReport is Report for an endpoint that may be unreachable.
 func TryReport(p *Process) (fleet.Report, error) {
 	var report fleet.Report
 	response, err := http.Get("http://" + p.Address + engine.PathStatus)
@@ -110,7 +111,8 @@
 	return report, json.NewDecoder(response.Body).Decode(&report)
 }
 
-// Order sends an endpoint an order of nobody's, past its proxy.
+// Order sends an endpoint an order to load weights that no controller issued,
+// bypassing its proxy.
 func (c *Cluster) Order(p *Process, group string, generation uint64) {
 	c.post(p.Address, engine.PathOrders, engine.Order{
 		Kind:        engine.OrderLoad,
@@ -121,19 +123,19 @@
 	})
 }
 
-// Leave makes an endpoint say that it is leaving.
+// Leave makes an endpoint report that it is draining.
 func (c *Cluster) Leave(p *Process) { c.post(p.Address, "/standin/leave", struct{}{}) }
 
-// Cut cuts entry instances off from processes, in both directions, in the
-// way that a network does: connections hang.
+// Cut partitions entry instances from processes: connections stay open, but no
+// data passes in either direction.
 func Cut(from []*Entry, to ...*Process) {
-	setFault(from, to, faultproxy.Fault{HoldUp: true, HoldDown: true})
+	setFaults(from, to, faultproxy.Fault{HoldUp: true, HoldDown: true})
 }
 
-// Heal ends Cut.
-func Heal(from []*Entry, to ...*Process) { setFault(from, to, faultproxy.Fault{}) }
+// Heal removes the faults set by Cut.
+func Heal(from []*Entry, to ...*Process) { setFaults(from, to, faultproxy.Fault{}) }
 
-func setFault(from []*Entry, to []*Process, f faultproxy.Fault) {
+func setFaults(from []*Entry, to []*Process, f faultproxy.Fault) {
 	for _, p := range to {
 		for _, e := range from {
 			p.Proxy.Set(e.Source, f)
@@ -152,12 +154,12 @@
 	return out
 }
 
-// Others returns the entry instances of the same data centre but one.
+// Others returns the other entry instances of the same data centre.
 func (c *Cluster) Others(one *Entry) []*Entry {
 	return slices.DeleteFunc(c.In(one.DataCentre), func(e *Entry) bool { return e == one })
 }
 
-// Processes returns the processes of entry instances.
+// Processes returns the process of each entry instance.
 func Processes(list []*Entry) []*Process {
 	var out []*Process
 	for _, e := range list {
@@ -166,7 +168,7 @@
 	return out
 }
 
-// Controller returns the entry instance that holds a data centre's lease.
+// Controller waits until a data centre has a controller and returns it.
 func (c *Cluster) Controller(dc string) *Entry {
 	c.t.Helper()
 	var holder *Entry
@@ -188,11 +190,11 @@
 	return holder
 }
 
-// Groups reads the groups of a data centre from the table and checks that no
-// instance is in two of them.
+// Groups reads the groups of a data centre from the store and checks that no
+// instance is a member of two of them.
 func (c *Cluster) Groups(dc string) []fleet.Group {
 	c.t.Helper()
-	rows, err := c.Control.Scan(c.t.Context(), "dc/"+dc+"/g/")
+	rows, err := c.PlatformClient.Scan(c.t.Context(), "dc/"+dc+"/g/")
 	require.NoError(c.t, err)
 	owner := map[fleet.InstanceID]fleet.GroupID{}
 	var out []fleet.Group
