--- a/lab/experiments/baselines.go
+++ b/lab/experiments/baselines.go
@@ -8,8 +8,8 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// FixedSpares is a plain baseline: one spare is held in each domain, a group
-// that loses a member gets the spare, and nothing else ever changes.
+// FixedSpares is a baseline that keeps a number of instances of each domain as
+// spares when it forms groups and replaces broken members by free instances.
 type FixedSpares struct{ Spares int }
 
 // Step implements Policy.
@@ -19,21 +19,21 @@
 		b.repair(g)
 	}
 	for _, d := range v.Demands {
-		for have := b.count(d.Template); have < max(d.Want, d.Soon); have++ {
+		for groups := b.count(d.Template); groups < max(d.Want, d.Soon); groups++ {
 			if !b.form(d, p.Spares) {
 				break
 			}
 		}
-		for have := b.count(d.Template); have > max(d.Want, d.Soon); have-- {
-			b.endOne(d.Template)
+		for groups := b.count(d.Template); groups > max(d.Want, d.Soon); groups-- {
+			b.dissolveOne(d.Template)
 		}
 	}
 	return b.actions
 }
 
-// FullResolve is a plain baseline: whenever something is broken or missing,
-// all groups are solved anew with instances drawn at random; groups that come
-// out the same stay.
+// FullResolve is a baseline that dissolves all groups and forms them again from
+// randomly drawn instances whenever a member is broken or a template has too few
+// or too many groups.
 type FullResolve struct{ Random *rand.Rand }
 
 // Step implements Policy.
@@ -41,7 +41,7 @@
 	b := newBaseline(v)
 	broken := false
 	for _, g := range v.Groups {
-		broken = broken || b.brokenMembers(g) > 0
+		broken = broken || b.countBroken(g) > 0
 	}
 	short := false
 	for _, d := range v.Demands {
@@ -51,7 +51,7 @@
 		return nil
 	}
 	for _, g := range v.Groups {
-		b.end(g)
+		b.dissolve(g)
 	}
 	p.Random.Shuffle(len(b.domains), func(i, j int) { b.domains[i], b.domains[j] = b.domains[j], b.domains[i] })
 	for _, domain := range b.domains {
@@ -68,23 +68,23 @@
 	return b.actions
 }
 
-// baseline is what both share.
+// baseline is one step of a baseline policy.
 type baseline struct {
-	v       placement.View
-	byID    map[fleet.InstanceID]placement.Instance
-	free    map[string][]placement.Instance
-	domains []string
-	counts  map[string]int
-	ended   map[fleet.GroupID]bool
-	actions []placement.Action
+	view      placement.View
+	byID      map[fleet.InstanceID]placement.Instance
+	free      map[string][]placement.Instance
+	domains   []string
+	counts    map[string]int
+	dissolved map[fleet.GroupID]bool
+	actions   []placement.Action
 }
 
 func newBaseline(v placement.View) *baseline {
 	b := &baseline{
-		v: v, byID: map[fleet.InstanceID]placement.Instance{}, free: map[string][]placement.Instance{},
-		counts: map[string]int{}, ended: map[fleet.GroupID]bool{},
+		view: v, byID: map[fleet.InstanceID]placement.Instance{}, free: map[string][]placement.Instance{},
+		counts: map[string]int{}, dissolved: map[fleet.GroupID]bool{},
 	}
-	sort.Slice(b.v.Groups, func(i, j int) bool { return b.v.Groups[i].ID < b.v.Groups[j].ID })
+	sort.Slice(b.view.Groups, func(i, j int) bool { return b.view.Groups[i].ID < b.view.Groups[j].ID })
 	owned := map[fleet.InstanceID]bool{}
 	for _, g := range v.Groups {
 		b.counts[g.Template]++
@@ -113,7 +113,7 @@
 	return !in.Fresh || in.Report.Incarnation != m.Incarnation
 }
 
-func (b *baseline) brokenMembers(g fleet.Group) int {
+func (b *baseline) countBroken(g fleet.Group) int {
 	n := 0
 	for _, m := range g.Members {
 		if b.broken(m) {
@@ -123,10 +123,10 @@
 	return n
 }
 
-// repair replaces broken members by free instances, or by themselves when
-// they are back.
+// repair replaces broken members by free instances, or, if they have restarted,
+// by their new incarnation.
 func (b *baseline) repair(g fleet.Group) {
-	if b.brokenMembers(g) == 0 {
+	if b.countBroken(g) == 0 {
 		return
 	}
 	group := g
@@ -149,10 +149,10 @@
 	b.actions = append(b.actions, placement.Action{Kind: placement.ActionRepair, Group: group})
 }
 
-func (b *baseline) form(d placement.Demand, keep int) bool {
+func (b *baseline) form(d placement.Demand, spares int) bool {
 	for _, domain := range b.domains {
 		list := b.free[domain]
-		if len(list) < d.Size+keep {
+		if len(list) < d.Size+spares {
 			continue
 		}
 		g := fleet.Group{Domain: domain, Template: d.Template, Weights: d.Weights, Role: d.Role}
@@ -167,8 +167,8 @@
 	return false
 }
 
-func (b *baseline) end(g fleet.Group) {
-	b.ended[g.ID] = true
+func (b *baseline) dissolve(g fleet.Group) {
+	b.dissolved[g.ID] = true
 	b.counts[g.Template]--
 	b.actions = append(b.actions, placement.Action{Kind: placement.ActionEnd, Group: g})
 	for _, m := range g.Members {
@@ -178,10 +178,10 @@
 	}
 }
 
-func (b *baseline) endOne(template string) {
-	for i := len(b.v.Groups) - 1; i >= 0; i-- {
-		if g := b.v.Groups[i]; g.Template == template && !b.ended[g.ID] {
-			b.end(g)
+func (b *baseline) dissolveOne(template string) {
+	for i := len(b.view.Groups) - 1; i >= 0; i-- {
+		if g := b.view.Groups[i]; g.Template == template && !b.dissolved[g.ID] {
+			b.dissolve(g)
 			return
 		}
 	}
--- a/lab/experiments/placement.go
+++ b/lab/experiments/placement.go
@@ -12,14 +12,15 @@
 	"github.com/ridgehinge/ridgehinge/pkg/placement"
 )
 
-// The weights of the two users, per group-minute and accelerator-hour.
+// Objective weights of the two users, per group-minute of downtime and per
+// stranded accelerator-hour.
 const (
 	walletDowntime, walletStranded   = 1000, 0.01
 	roasterDowntime, roasterStranded = 1, 10
 )
 
-// day follows the sun: half the groups at night, all from morning to evening.
-func day(hour float64, want int) int {
+// groupsByHour returns all groups from 7 to 22 h and half of them at night.
+func groupsByHour(hour float64, want int) int {
 	ofDay := math.Mod(hour, 24)
 	if ofDay < 7 || ofDay >= 22 {
 		return (want + 1) / 2
@@ -27,8 +28,8 @@
 	return want
 }
 
-// trace is one data centre of a user today: 17 model workers in domains of 9
-// and 8, two models, three groups of four in the day.
+// trace returns a trace of one data centre: 17 instances in domains of 9 and 8,
+// and two models with three groups of four in the day.
 func trace(seed uint64, downtime, stranded float64) PlacementTrace {
 	demand := func(name string, want int) placement.Demand {
 		return placement.Demand{
@@ -38,19 +39,17 @@
 	}
 	return PlacementTrace{
 		Seed: seed, Days: 7, Domains: []int{9, 8},
-		// The expected rates at the size to come are 180 failures and 650
-		// restarts a day on 11,000; a small hall takes many more, so that a
-		// week has enough of them to compare.
+		// Higher than expected in production, so that a week on 17 instances has enough
+		// failures to compare.
 		FailuresPerDay: 0.2, RestartsPerDay: 0.6, RepairTime: 40 * time.Minute,
-		RackEvery: 5 * 24 * time.Hour, RackTime: 30 * time.Minute,
-		OutageAt: 13 * time.Hour, OutageFor: 30 * time.Minute,
+		RackFailureInterval: 5 * 24 * time.Hour, RackRepairTime: 30 * time.Minute,
+		OutageStart: 13 * time.Hour, OutageDuration: 30 * time.Minute,
 		LoadTime:  90 * time.Second,
 		Templates: []placement.Demand{demand("large", 2), demand("small", 1)},
-		Day:       day,
+		GroupsAt:  groupsByHour,
 	}
 }
 
-// user is one of the two users with its weights.
 type user struct {
 	name               string
 	downtime, stranded float64
@@ -61,7 +60,7 @@
 	{"roaster", roasterDowntime, roasterStranded},
 }
 
-// placementSeeds are the weeks that each policy is run over.
+// placementSeeds is the number of one-week traces for each policy.
 const placementSeeds = 4
 
 func policies(seed uint64) map[string]Policy {
@@ -76,8 +75,8 @@
 
 var policyOrder = []string{"ridgehinge", "fixed spares", "full resolve"}
 
-// Placement runs all policies over the weeks of both users and prints the
-// means for a week.
+// Placement runs all policies over the traces of both users and prints the mean
+// results of a week.
 func Placement(out io.Writer) map[string]map[string]PlacementResult {
 	all := map[string]map[string]PlacementResult{}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
@@ -91,12 +90,12 @@
 				sum.Downtime += r.Downtime / placementSeeds
 				sum.Stranded += r.Stranded / placementSeeds
 				sum.Loads += r.Loads
-				sum.Wasted += r.Wasted
+				sum.WastedLoads += r.WastedLoads
 				sum.Moves += r.Moves
 			}
 			all[u.name][name] = sum
 			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%d\t%d\t%d\t\n", u.name, name, sum.Downtime, sum.Stranded,
-				sum.Loads/placementSeeds, sum.Wasted/placementSeeds, sum.Moves/placementSeeds)
+				sum.Loads/placementSeeds, sum.WastedLoads/placementSeeds, sum.Moves/placementSeeds)
 		}
 	}
 	_ = w.Flush()
--- a/lab/experiments/plots.go
+++ b/lab/experiments/plots.go
@@ -16,7 +16,8 @@
 	barWidth   = 24 * vg.Millimeter / 2
 )
 
-// PlotPlacement draws the placement table as two bar charts, in SVG.
+// PlotPlacement writes the downtime and stranded columns of the placement table
+// as SVG bar charts.
 func PlotPlacement(dir string, results map[string]map[string]PlacementResult) error {
 	for name, value := range map[string]func(PlacementResult) float64{
 		"downtime": func(r PlacementResult) float64 { return r.Downtime },
@@ -49,7 +50,7 @@
 		for _, u := range users {
 			names = append(names, u.name+"'s weights")
 		}
-		// Room for the legend above the bars.
+		// Leave room for the legend above the bars.
 		p.Y.Max = highest * 1.4
 		p.NominalX(names...)
 		if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, "placement-"+name+".svg")); err != nil {
--- a/lab/experiments/routing.go
+++ b/lab/experiments/routing.go
@@ -12,73 +12,74 @@
 	"github.com/ridgehinge/ridgehinge/pkg/routing"
 )
 
-// routingPolicy is the router, or a plain baseline.
+// routingPolicy is routing.Router or a baseline.
 type routingPolicy uint8
 
 const (
 	policyRouter routingPolicy = iota
-	// policyLeastReported sends to the group that last reported least.
+	// policyLeastReported picks the group with the lowest reported load.
 	policyLeastReported
-	// policyRandom sends anywhere.
+	// policyRandom picks a group at random.
 	policyRandom
 )
 
 const (
-	routingNodes  = 9
-	routingGroups = 9
-	routingSlots  = 8
-	routingLag    = 500 * time.Millisecond
-	routingTime   = time.Second
-	routingSlow   = 4
-	routingLoad   = 0.7
-	routingLength = 5 * time.Minute
+	routingNodes       = 9
+	routingGroups      = 9
+	routingSlots       = 8
+	reportLag          = 500 * time.Millisecond
+	routingServiceTime = time.Second
+	routingSlowdown    = 4
+	routingLoad        = 0.7
+	routingDuration    = 5 * time.Minute
 )
 
-// RoutingResult is the response times that a policy gave.
+// RoutingResult is the response-time percentiles of a policy.
 type RoutingResult struct{ P50, P99 time.Duration }
 
 type simGroup struct {
-	slow  float64
-	busy  int
-	queue []func(now time.Time)
+	slowdown  float64
+	busySlots int
+	queue     []func(now time.Time)
 }
 
-type routingRun struct {
-	clock
-	policy   routingPolicy
-	random   *rand.Rand
-	groups   []*simGroup
-	reported []int
-	version  uint64
-	routers  []*routing.Router
-	times    []time.Duration
+type routingSimulation struct {
+	eventLoop
+	policy        routingPolicy
+	random        *rand.Rand
+	groups        []*simGroup
+	reported      []int
+	version       uint64
+	routers       []*routing.Router
+	responseTimes []time.Duration
 }
 
-// RunRouting runs a policy on nine nodes before nine groups, one of which is
-// slow, with load reports that are late.
+// RunRouting simulates a policy on nine nodes and nine groups, one of them slow,
+// with delayed load reports.
 func RunRouting(policy routingPolicy, seed uint64) RoutingResult {
-	r := &routingRun{policy: policy, random: rand.New(rand.NewPCG(seed, 6)), reported: make([]int, routingGroups)}
+	r := &routingSimulation{policy: policy, random: rand.New(rand.NewPCG(seed, 6)), reported: make([]int, routingGroups)}
 	for i := range routingGroups {
-		g := &simGroup{slow: 1}
+		g := &simGroup{slowdown: 1}
 		if i == 0 {
-			g.slow = routingSlow
+			g.slowdown = routingSlowdown
 		}
 		r.groups = append(r.groups, g)
 	}
 	for range routingNodes {
 		r.routers = append(r.routers, routing.New())
 	}
-	r.now = hallStart
-	r.report(hallStart)
-	capacity := (routingGroups - 1 + 1.0/routingSlow) * routingSlots / routingTime.Seconds()
-	r.arrivals(hallStart, capacity*routingLoad)
-	r.run(hallStart.Add(routingLength))
-	sort.Slice(r.times, func(i, j int) bool { return r.times[i] < r.times[j] })
-	return RoutingResult{r.times[len(r.times)/2], r.times[len(r.times)*99/100]}
+	r.now = simulationStart
+	r.publishReports(simulationStart)
+	capacity := (routingGroups - 1 + 1.0/routingSlowdown) * routingSlots / routingServiceTime.Seconds()
+	r.scheduleArrivals(simulationStart, capacity*routingLoad)
+	r.run(simulationStart.Add(routingDuration))
+	sort.Slice(r.responseTimes, func(i, j int) bool { return r.responseTimes[i] < r.responseTimes[j] })
+	return RoutingResult{r.responseTimes[len(r.responseTimes)/2], r.responseTimes[len(r.responseTimes)*99/100]}
 }
 
-// report tells all nodes the load as it was one lag ago.
-func (r *routingRun) report(now time.Time) {
+// publishReports sends all nodes the loads recorded one lag ago and records the
+// current ones.
+func (r *routingSimulation) publishReports(now time.Time) {
 	r.version++
 	var targets []routing.Target
 	for i := range r.groups {
@@ -90,22 +91,22 @@
 		router.SetTargets(targets)
 	}
 	for i, g := range r.groups {
-		r.reported[i] = g.busy + len(g.queue)
+		r.reported[i] = g.busySlots + len(g.queue)
 	}
-	r.at(now.Add(routingLag), r.report)
+	r.schedule(now.Add(reportLag), r.publishReports)
 }
 
 func groupName(i int) fleet.GroupID { return fleet.GroupID(fmt.Sprintf("g%d", i)) }
 
-func (r *routingRun) arrivals(from time.Time, rate float64) {
+func (r *routingSimulation) scheduleArrivals(from time.Time, rate float64) {
 	gap := time.Duration(r.random.ExpFloat64() / rate * float64(time.Second))
-	r.at(from.Add(gap), func(now time.Time) {
+	r.schedule(from.Add(gap), func(now time.Time) {
 		r.send(now, r.random.IntN(routingNodes))
-		r.arrivals(now, rate)
+		r.scheduleArrivals(now, rate)
 	})
 }
 
-func (r *routingRun) choose(now time.Time, node int) int {
+func (r *routingSimulation) choose(now time.Time, node int) int {
 	switch r.policy {
 	case policyLeastReported:
 		best := 0
@@ -124,16 +125,16 @@
 	return i
 }
 
-func (r *routingRun) send(now time.Time, node int) {
+func (r *routingSimulation) send(now time.Time, node int) {
 	i := r.choose(now, node)
 	g := r.groups[i]
 	r.routers[node].Started(groupName(i))
-	service := time.Duration((0.5 + r.random.Float64()) * float64(routingTime) * g.slow)
+	service := time.Duration((0.5 + r.random.Float64()) * float64(routingServiceTime) * g.slowdown)
 	start := func(at time.Time) {
-		g.busy++
-		r.at(at.Add(service), func(done time.Time) {
-			g.busy--
-			r.times = append(r.times, done.Sub(now))
+		g.busySlots++
+		r.schedule(at.Add(service), func(done time.Time) {
+			g.busySlots--
+			r.responseTimes = append(r.responseTimes, done.Sub(now))
 			r.routers[node].Finished(done, groupName(i), done.Sub(now), true)
 			if len(g.queue) > 0 {
 				next := g.queue[0]
@@ -142,14 +143,14 @@
 			}
 		})
 	}
-	if g.busy < routingSlots {
+	if g.busySlots < routingSlots {
 		start(now)
 		return
 	}
 	g.queue = append(g.queue, start)
 }
 
-// Routing prints the policies side by side.
+// Routing prints a table of the results of all policies.
 func Routing(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "policy\tp50\tp99\t")
