--- a/lab/cmd/experiments/main.go
+++ b/lab/cmd/experiments/main.go
@@ -1,5 +1,5 @@
-// Command experiments prints the tables of docs/BENCHMARKS.md that measure
-// single decisions on seeded traces.
+// Command experiments prints tables that compare the admission, routing and
+// placement policies with baselines in seeded simulations.
 package main
 
 import (
@@ -11,8 +11,8 @@
 )
 
 func main() {
-	only := flag.String("only", "", "placement, admission or routing; empty is all")
-	plots := flag.String("plots", "", "a folder to write SVG plots to")
+	only := flag.String("only", "", "run only placement, admission or routing")
+	plots := flag.String("plots", "", "directory to write SVG plots to")
 	flag.Parse()
 	if *only == "" || *only == "admission" {
 		fmt.Println("Admission: an hour, five minutes of it at three times the capacity")
--- a/lab/cmd/load/main.go
+++ b/lab/cmd/load/main.go
@@ -1,11 +1,11 @@
-// Command load measures one entry instance against direct calls to the same
-// stand-in engine, all on loopback, bounded in count and time.
+// Command load measures the latency, memory and CPU cost of entry instances with
+// stand-in endpoints on loopback.
 //
-//	load pair     added time to first token and between tokens, at half load
+//	load pair     added latency to first token and between tokens, at half load
 //	load streams  memory by the number of concurrent streams
-//	load cpu      processor time for each request and token
-//	load steady   what control costs a data centre at rest, by its size
-//	load recovery time to a steady state after each kind of fault
+//	load cpu      CPU time per request and token
+//	load steady   control-plane overhead of an idle data centre
+//	load recovery time to recover from each kind of fault
 package main
 
 import (
@@ -49,48 +49,48 @@
 deadline = 5m
 `
 
-// bed is one entry instance before groups of stand-in engines.
-type bed struct {
+// testbed is one entry instance with groups of stand-in engines.
+type testbed struct {
 	*cluster.Cluster
 	entry *cluster.Entry
-	// leaders are the endpoints that requests go to, for direct calls.
-	leaders []leader
+	// heads are the targets of direct requests.
+	heads []groupHead
 }
 
-type leader struct {
+type groupHead struct {
 	address string
 	group   fleet.Group
 }
 
-func newBed(t *session, groups int, args ...string) *bed {
+func newTestbed(t *standaloneT, groups int, args ...string) *testbed {
 	binaries, err := cluster.Build(t.TempDir(), false)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	c := cluster.New(t, binaries)
 	c.AddEngines("dc", "rack", groups*4, args...)
-	b := &bed{Cluster: c, entry: c.AddEntry("entry", "dc")}
+	b := &testbed{Cluster: c, entry: c.AddEntry("entry", "dc")}
 	c.Submit(b.entry, fmt.Sprintf(loadTemplate, groups), 0)
 	c.WaitServing("dc", "load", groups)
 	for _, g := range c.Groups("dc") {
-		b.leaders = append(b.leaders, leader{c.Endpoints[string(g.Leader())].Address, g})
+		b.heads = append(b.heads, groupHead{c.Endpoints[string(g.Leader())].Address, g})
 	}
 	return b
 }
 
-// session stands in for a test.
-type session struct {
+// standaloneT implements cluster.T outside of a test.
+type standaloneT struct {
 	cleanups []func()
 	failed   bool
 }
 
-type sessionEnd struct{}
+type failNowPanic struct{}
 
-// run calls f and cleans up, whether f ends well or by Fatalf.
-func (s *session) run(f func()) (status subcommands.ExitStatus) {
+// run calls f and then the cleanups, also if f calls FailNow.
+func (s *standaloneT) run(f func()) (status subcommands.ExitStatus) {
 	defer func() {
 		if r := recover(); r != nil {
-			if _, ok := r.(sessionEnd); !ok {
+			if _, ok := r.(failNowPanic); !ok {
 				panic(r)
 			}
 		}
@@ -105,29 +105,29 @@
 	return subcommands.ExitSuccess
 }
 
-func (s *session) Helper() {}
+func (s *standaloneT) Helper() {}
 
-func (s *session) Errorf(format string, args ...any) {
+func (s *standaloneT) Errorf(format string, args ...any) {
 	s.failed = true
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
 
-func (s *session) FailNow() {
+func (s *standaloneT) FailNow() {
 	s.failed = true
-	panic(sessionEnd{})
+	panic(failNowPanic{})
 }
 
-func (s *session) Fatalf(format string, args ...any) {
+func (s *standaloneT) Fatalf(format string, args ...any) {
 	s.Errorf(format, args...)
 	s.FailNow()
 }
 
-func (s *session) Logf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
-func (s *session) Failed() bool                    { return s.failed }
-func (s *session) Cleanup(f func())                { s.cleanups = append(s.cleanups, f) }
-func (s *session) Context() context.Context        { return context.Background() }
+func (s *standaloneT) Logf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+func (s *standaloneT) Failed() bool                    { return s.failed }
+func (s *standaloneT) Cleanup(f func())                { s.cleanups = append(s.cleanups, f) }
+func (s *standaloneT) Context() context.Context        { return context.Background() }
 
-func (s *session) TempDir() string {
+func (s *standaloneT) TempDir() string {
 	dir, err := os.MkdirTemp("", "ridgehinge-load")
 	if err != nil {
 		s.Fatalf("%v", err)
--- a/lab/cmd/load/pair.go
+++ b/lab/cmd/load/pair.go
@@ -22,8 +22,8 @@
 	"github.com/ridgehinge/ridgehinge/internal/engine"
 )
 
-// pairCommand sends each request at random either through the entry instance
-// or straight to an engine, so that both meet the same machine.
+// pairCommand sends each request at random either through the entry instance or
+// directly to an engine, so that both kinds are measured under the same load.
 type pairCommand struct {
 	seconds int
 	rate    float64
@@ -31,21 +31,21 @@
 }
 
 func (*pairCommand) Name() string     { return "pair" }
-func (*pairCommand) Synopsis() string { return "added time to first token and between tokens" }
+func (*pairCommand) Synopsis() string { return "added latency to first token and between tokens" }
 func (*pairCommand) Usage() string    { return "pair [-seconds N] [-rate R]\n" }
 
 func (c *pairCommand) SetFlags(f *flag.FlagSet) {
-	f.IntVar(&c.seconds, "seconds", 20, "how long")
-	f.Float64Var(&c.rate, "rate", 100, "requests a second, of both kinds together")
-	f.IntVar(&c.tokens, "tokens", 32, "tokens of an answer")
+	f.IntVar(&c.seconds, "seconds", 20, "duration in seconds")
+	f.Float64Var(&c.rate, "rate", 100, "requests per second, direct and through the entry instance together")
+	f.IntVar(&c.tokens, "tokens", 32, "tokens per response")
 }
 
-// sample is what one kind of request measured, in microseconds.
-type sample struct {
-	mu      sync.Mutex
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
-	failed  int
+// latencies are the results of one kind of request, in microseconds.
+type latencies struct {
+	mu         sync.Mutex
+	firstToken *hdrhistogram.Histogram
+	tokenGaps  *hdrhistogram.Histogram
+	failed     int
 }
 
 const (
@@ -53,79 +53,80 @@
 	histogramDigits = 3
 )
 
-func newSample() *sample {
-	return &sample{
-		first:   hdrhistogram.New(1, histogramMax, histogramDigits),
-		between: hdrhistogram.New(1, histogramMax, histogramDigits),
+func newLatencies() *latencies {
+	return &latencies{
+		firstToken: hdrhistogram.New(1, histogramMax, histogramDigits),
+		tokenGaps:  hdrhistogram.New(1, histogramMax, histogramDigits),
 	}
 }
 
-func (s *sample) record(first time.Duration, gaps []time.Duration, err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (l *latencies) record(first time.Duration, gaps []time.Duration, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if err != nil {
-		s.failed++
+		l.failed++
 		return
 	}
-	_ = s.first.RecordValue(first.Microseconds())
+	_ = l.firstToken.RecordValue(first.Microseconds())
 	for _, gap := range gaps {
-		_ = s.between.RecordValue(gap.Microseconds())
+		_ = l.tokenGaps.RecordValue(gap.Microseconds())
 	}
 }
 
 func (c *pairCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	t := &session{}
+	t := &standaloneT{}
 	return t.run(func() {
-		// Two groups of 16 places; an answer takes 20 ms and 10 ms a token, so
-		// 100 requests a second are about half of what they can do.
-		b := newBed(t, 2, "-slots", "32", "-token-time", "10ms", "-prefill", "20ms")
-		through, direct := newSample(), newSample()
-		c.drive(b, through, direct)
-		report(through, direct)
+		// Two groups of 32 slots. A response takes 20 ms plus 10 ms per token, so
+		// the default rate is about half of their capacity.
+		b := newTestbed(t, 2, "-slots", "32", "-token-time", "10ms", "-prefill", "20ms")
+		viaEntry, direct := newLatencies(), newLatencies()
+		c.run(b, viaEntry, direct)
+		printReport(viaEntry, direct)
 	})
 }
 
-func (c *pairCommand) drive(b *bed, through, direct *sample) {
+func (c *pairCommand) run(b *testbed, viaEntry, direct *latencies) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	random := rand.New(rand.NewPCG(1, 2))
 	end := time.Now().Add(time.Duration(c.seconds) * time.Second)
 	next := time.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := 0; time.Now().Before(end); n++ {
 		next = next.Add(time.Duration(random.ExpFloat64() / c.rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		request := b.request(n, c.tokens)
-		s := through
+		result := viaEntry
 		if random.IntN(2) == 0 {
-			s = direct
-			request = b.directRequest(n, c.tokens, b.leaders[random.IntN(len(b.leaders))])
+			result = direct
+			request = b.directRequest(n, c.tokens, b.heads[random.IntN(len(b.heads))])
 		}
-		all.Go(func() { s.record(timed(client, request)) })
+		wg.Go(func() { result.record(send(client, request)) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 func chatBody(n, tokens int) string {
 	return fmt.Sprintf(`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"request %d"}]}`, tokens, n)
 }
 
-func (b *bed) request(n, tokens int) *http.Request {
+func (b *testbed) request(n, tokens int) *http.Request {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+b.entry.Callers+engine.PathChat, strings.NewReader(chatBody(n, tokens)))
 	request.Header.Set("Authorization", "Bearer "+workspaceKey)
 	return request
 }
 
-func (b *bed) directRequest(n, tokens int, l leader) *http.Request {
-	request, _ := http.NewRequest(http.MethodPost, "http://"+l.address+engine.PathChat, strings.NewReader(chatBody(n, tokens)))
+func (b *testbed) directRequest(n, tokens int, head groupHead) *http.Request {
+	request, _ := http.NewRequest(http.MethodPost, "http://"+head.address+engine.PathChat, strings.NewReader(chatBody(n, tokens)))
 	request.Header.Set(engine.HeaderAttempt, fmt.Sprintf("direct-%d", n))
-	request.Header.Set(engine.HeaderGroup, string(l.group.ID))
-	request.Header.Set(engine.HeaderEpoch, strconv.FormatUint(l.group.Epoch, 10))
-	request.Header.Set(engine.HeaderGeneration, strconv.FormatUint(l.group.Generation, 10))
+	request.Header.Set(engine.HeaderGroup, string(head.group.ID))
+	request.Header.Set(engine.HeaderEpoch, strconv.FormatUint(head.group.Epoch, 10))
+	request.Header.Set(engine.HeaderGeneration, strconv.FormatUint(head.group.Generation, 10))
 	return request
 }
 
-// timed sends a request and times its tokens.
-func timed(client *http.Client, request *http.Request) (first time.Duration, gaps []time.Duration, err error) {
+// send sends a request and measures the time to its first token and the gaps
+// between tokens.
+func send(client *http.Client, request *http.Request) (first time.Duration, gaps []time.Duration, err error) {
 	start := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
@@ -156,27 +157,27 @@
 		last = now
 	}
 	if !done {
-		return 0, nil, errors.New("the answer is not whole")
+		return 0, nil, errors.New("incomplete response: stream ended without [DONE]")
 	}
 	return first, gaps, nil
 }
 
-func report(through, direct *sample) {
+func printReport(viaEntry, direct *latencies) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "milliseconds\trequests\tfailed\tfirst p50\tfirst p99\tbetween p50\tbetween p99\t")
 	for _, row := range []struct {
 		name string
-		s    *sample
-	}{{"direct", direct}, {"through", through}} {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", row.name, row.s.first.TotalCount(), row.s.failed,
-			at(row.s.first, 50), at(row.s.first, 99), at(row.s.between, 50), at(row.s.between, 99))
+		l    *latencies
+	}{{"direct", direct}, {"through", viaEntry}} {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", row.name, row.l.firstToken.TotalCount(), row.l.failed,
+			milliseconds(row.l.firstToken, 50), milliseconds(row.l.firstToken, 99), milliseconds(row.l.tokenGaps, 50), milliseconds(row.l.tokenGaps, 99))
 	}
 	fmt.Fprintf(w, "added\t\t\t%.2f\t%.2f\t%.2f\t%.2f\t\n",
-		at(through.first, 50)-at(direct.first, 50), at(through.first, 99)-at(direct.first, 99),
-		at(through.between, 50)-at(direct.between, 50), at(through.between, 99)-at(direct.between, 99))
+		milliseconds(viaEntry.firstToken, 50)-milliseconds(direct.firstToken, 50), milliseconds(viaEntry.firstToken, 99)-milliseconds(direct.firstToken, 99),
+		milliseconds(viaEntry.tokenGaps, 50)-milliseconds(direct.tokenGaps, 50), milliseconds(viaEntry.tokenGaps, 99)-milliseconds(direct.tokenGaps, 99))
 	_ = w.Flush()
 }
 
-func at(h *hdrhistogram.Histogram, quantile float64) float64 {
+func milliseconds(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
--- a/lab/cmd/load/steady.go
+++ b/lab/cmd/load/steady.go
@@ -20,94 +20,94 @@
 	"github.com/ridgehinge/ridgehinge/pkg/fleet"
 )
 
-// steadyCommand runs one data centre of real entry instances without traffic
-// and measures what control costs each of them.
+// steadyCommand measures the CPU time, memory and control traffic of the entry
+// instances of one data centre, by default without requests.
 type steadyCommand struct {
 	nodes, endpoints, seconds, callers int
 }
 
 func (*steadyCommand) Name() string     { return "steady" }
-func (*steadyCommand) Synopsis() string { return "what control costs a data centre at rest" }
+func (*steadyCommand) Synopsis() string { return "control-plane overhead of an idle data centre" }
 func (*steadyCommand) Usage() string    { return "steady [-nodes N] [-endpoints N] [-seconds N]\n" }
 
 func (c *steadyCommand) SetFlags(f *flag.FlagSet) {
 	f.IntVar(&c.nodes, "nodes", 9, "entry instances")
 	f.IntVar(&c.endpoints, "endpoints", 50, "model engines")
-	f.IntVar(&c.seconds, "seconds", 15, "how long")
-	f.IntVar(&c.callers, "callers", 0, "callers of each entry instance; the processor time then includes their requests")
+	f.IntVar(&c.seconds, "seconds", 15, "duration in seconds")
+	f.IntVar(&c.callers, "callers", 0, "callers per entry instance; the CPU time then includes their requests")
 }
 
 const (
-	steadySize   = 8
-	steadyDomain = 64
-	// quietLog keeps the default times, which the tests' tuning replaces.
-	quietLog = "[log]\nlevel = warn\n[limits]\nmax_requests = 64\n[placement]\nload_budget = 10000\n"
+	steadyReplicaSize = 8
+	steadyDomainSize  = 64
+	// steadySettings keeps the default intervals, unlike the settings for tests.
+	steadySettings = "[log]\nlevel = warn\n[limits]\nmax_requests = 64\n[placement]\nload_budget = 10000\n"
 )
 
 func (c *steadyCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	t := &session{}
+	t := &standaloneT{}
 	return t.run(func() {
 		binaries, err := cluster.Build(t.TempDir(), false)
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		bed := cluster.New(t, binaries)
-		bed.Tuning = quietLog
-		c.addEndpoints(bed)
+		cl := cluster.New(t, binaries)
+		cl.Tuning = steadySettings
+		c.addEndpoints(cl)
 		for i := range c.nodes {
-			bed.AddEntry(fmt.Sprintf("n%02d", i), "dc")
+			cl.AddEntry(fmt.Sprintf("n%02d", i), "dc")
 		}
-		groups := c.endpoints / steadySize
-		template := strings.Replace(fmt.Sprintf(loadTemplate, groups), "replica_size = 4", fmt.Sprintf("replica_size = %d", steadySize), 1)
+		groups := c.endpoints / steadyReplicaSize
+		template := strings.Replace(fmt.Sprintf(loadTemplate, groups), "replica_size = 4", fmt.Sprintf("replica_size = %d", steadyReplicaSize), 1)
 		start := time.Now()
-		bed.Submit(bed.Entries[0], template, 0)
-		c.waitServing(t, bed, groups)
+		cl.Submit(cl.Entries[0], template, 0)
+		c.waitServing(t, cl, groups)
 		formed := time.Since(start)
-		c.measure(bed, formed)
+		c.measure(cl, formed)
 	})
 }
 
-const restAfterForming = 20 * time.Second
+const settleAfterForming = 20 * time.Second
 
-// formBound is how long the groups may take to form: they are formed one
-// transaction at a time.
-const formBound = 4 * time.Minute
+// formTimeout is long because groups are formed one transaction at a time.
+const formTimeout = 4 * time.Minute
 
-func (c *steadyCommand) waitServing(t *session, bed *cluster.Cluster, groups int) {
-	end := time.Now().Add(formBound)
-	for _, e := range bed.Entries {
+func (c *steadyCommand) waitServing(t *standaloneT, cl *cluster.Cluster, groups int) {
+	end := time.Now().Add(formTimeout)
+	for _, e := range cl.Entries {
 		for len(e.Serving("load")) < groups {
 			if time.Now().After(end) {
-				t.Fatalf("%s serves %d of %d groups after %s", e.Name, len(e.Serving("load")), groups, formBound)
+				t.Fatalf("%s serves %d of %d groups after %s", e.Name, len(e.Serving("load")), groups, formTimeout)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-func (c *steadyCommand) addEndpoints(bed *cluster.Cluster) {
+func (c *steadyCommand) addEndpoints(cl *cluster.Cluster) {
 	for i := range c.endpoints {
 		id := fleet.InstanceID(fmt.Sprintf("engine-%05d", i))
 		o := enginestandin.DefaultOptions(id, uint64(i+1))
 		o.LoadTime = time.Millisecond
-		bed.HostEndpoint(fleet.Instance{
-			ID: id, DataCentre: "dc", Domain: fmt.Sprintf("rack-%d", i/steadyDomain),
+		cl.HostEndpoint(fleet.Instance{
+			ID: id, DataCentre: "dc", Domain: fmt.Sprintf("rack-%d", i/steadyDomainSize),
 			Kind: fleet.KindEngine, Accelerators: 4, ChecksFences: true,
 		}, o)
 	}
 }
 
-// usage is what one node has used so far.
+// usage is the cumulative resource usage of one node.
 type usage struct {
 	cpu   float64
 	bytes map[string]float64
 }
 
-func used(e *cluster.Entry) usage {
+func readUsage(e *cluster.Entry) usage {
 	return usage{cpuSeconds(e.PID()), controlBytes(e)}
 }
 
-// controlBytes reads the counters of control bytes from the metrics page.
+// controlBytes reads the control traffic counters from the metrics page and sums
+// them by link and direction.
 func controlBytes(e *cluster.Entry) map[string]float64 {
 	out := map[string]float64{}
 	response, err := http.Get("http://" + e.Callers + "/metrics")
@@ -137,13 +137,13 @@
 	return out
 }
 
-// call keeps callers busy until the function that it returns is called.
-func (c *steadyCommand) call(bed *cluster.Cluster) (stop func()) {
+// startCallers runs the callers of all entry instances until stop is called.
+func (c *steadyCommand) startCallers(cl *cluster.Cluster) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	for _, e := range bed.Entries {
+	var wg sync.WaitGroup
+	for _, e := range cl.Entries {
 		for range c.callers {
-			all.Go(func() {
+			wg.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
 					e.Send(cluster.Chat(workspaceKey, fmt.Sprint(n), 20))
 				}
@@ -152,50 +152,51 @@
 	}
 	return func() {
 		cancel()
-		all.Wait()
+		wg.Wait()
 	}
 }
 
-// measure prints the mean and the highest of all nodes.
-func (c *steadyCommand) measure(bed *cluster.Cluster, formed time.Duration) {
-	// What forming the groups has set going is told to all by then.
-	time.Sleep(restAfterForming)
-	for _, e := range bed.Entries {
+// measure prints the mean and maximum usage over all nodes.
+func (c *steadyCommand) measure(cl *cluster.Cluster, formed time.Duration) {
+	// Wait until the effects of forming the groups have reached all nodes.
+	time.Sleep(settleAfterForming)
+	for _, e := range cl.Entries {
 		controlBytes(e)
 	}
-	// The gauges that a reading has set are on the page a second later.
-	time.Sleep(settle)
+	// Reading the metrics page updates the control_bytes gauges; the new values
+	// appear on the page after the reporting interval.
+	time.Sleep(settleTime)
 	before := map[string]usage{}
-	for _, e := range bed.Entries {
-		before[e.Name] = used(e)
+	for _, e := range cl.Entries {
+		before[e.Name] = readUsage(e)
 	}
 	start := time.Now()
-	stop := c.call(bed)
+	stop := c.startCallers(cl)
 	time.Sleep(time.Duration(c.seconds) * time.Second)
 	stop()
 	seconds := time.Since(start).Seconds()
-	mean, most := map[string]float64{}, map[string]float64{}
-	note := func(name string, value float64) {
-		mean[name] += value / float64(len(bed.Entries))
-		most[name] = max(most[name], value)
+	mean, highest := map[string]float64{}, map[string]float64{}
+	record := func(name string, value float64) {
+		mean[name] += value / float64(len(cl.Entries))
+		highest[name] = max(highest[name], value)
 	}
-	for _, e := range bed.Entries {
+	for _, e := range cl.Entries {
 		controlBytes(e)
 	}
-	time.Sleep(settle)
-	for _, e := range bed.Entries {
-		after := used(e)
-		note("% of a core", 100*(after.cpu-before[e.Name].cpu)/(seconds+settle.Seconds()))
-		note("resident MB", float64(residentKB(e.PID()))/1024)
+	time.Sleep(settleTime)
+	for _, e := range cl.Entries {
+		after := readUsage(e)
+		record("% of a core", 100*(after.cpu-before[e.Name].cpu)/(seconds+settleTime.Seconds()))
+		record("resident MB", float64(residentKB(e.PID()))/1024)
 		sent := 0.0
 		for link, n := range after.bytes {
-			rate := (n - before[e.Name].bytes[link]) / (seconds + settle.Seconds())
-			note("B/s "+link, rate)
+			rate := (n - before[e.Name].bytes[link]) / (seconds + settleTime.Seconds())
+			record("B/s "+link, rate)
 			if strings.HasSuffix(link, "written") {
 				sent += rate
 			}
 		}
-		note("B/s sent in all", sent)
+		record("B/s sent in all", sent)
 	}
 	fmt.Printf("%d nodes, %d endpoints, groups formed in %.1f s\n", c.nodes, c.endpoints, formed.Seconds())
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
@@ -203,7 +204,7 @@
 		"% of a core", "resident MB", "B/s sent in all", "B/s peers written", "B/s endpoints written",
 		"B/s platform written", "B/s peers read", "B/s endpoints read", "B/s platform read",
 	} {
-		fmt.Fprintf(w, "%s\tmean %.1f\tmost %.1f\n", name, mean[name], most[name])
+		fmt.Fprintf(w, "%s\tmean %.1f\tmost %.1f\n", name, mean[name], highest[name])
 	}
 	_ = w.Flush()
 }
--- a/lab/cmd/standin/main.go
+++ b/lab/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one stand-in as a process of its own: the platform, a
-// model engine or a plain service.
+// Command standin runs a stand-in for the platform, a model engine or a plain
+// service.
 package main
 
 import (
@@ -48,11 +48,11 @@
 type platformCommand struct{ listen string }
 
 func (*platformCommand) Name() string     { return "platform" }
-func (*platformCommand) Synopsis() string { return "play the platform's table and instance list" }
+func (*platformCommand) Synopsis() string { return "simulate the platform's store and instance list" }
 func (*platformCommand) Usage() string    { return "platform -listen ADDRESS\n" }
 
 func (c *platformCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "address")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "listen address")
 }
 
 func (c *platformCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -66,19 +66,19 @@
 }
 
 func (*endpointCommand) Name() string     { return "endpoint" }
-func (*endpointCommand) Synopsis() string { return "play a model engine or a plain service" }
+func (*endpointCommand) Synopsis() string { return "simulate a model engine or a plain service" }
 func (*endpointCommand) Usage() string    { return "endpoint -listen ADDRESS -id NAME\n" }
 
 func (c *endpointCommand) SetFlags(f *flag.FlagSet) {
 	c.options = enginestandin.DefaultOptions("", uint64(time.Now().UnixNano()))
-	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "address")
-	f.StringVar(&c.id, "id", "", "the instance's name")
-	f.IntVar(&c.options.Slots, "slots", c.options.Slots, "requests at once")
-	f.IntVar(&c.options.Tokens, "tokens", c.options.Tokens, "tokens of an answer")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "listen address")
+	f.StringVar(&c.id, "id", "", "instance id")
+	f.IntVar(&c.options.Slots, "slots", c.options.Slots, "concurrent requests")
+	f.IntVar(&c.options.Tokens, "tokens", c.options.Tokens, "default tokens per response")
 	f.DurationVar(&c.options.TokenTime, "token-time", c.options.TokenTime, "time between tokens")
 	f.DurationVar(&c.options.Prefill, "prefill", c.options.Prefill, "time to the first token")
 	f.DurationVar(&c.options.LoadTime, "load-time", c.options.LoadTime, "time to load weights")
-	f.BoolVar(&c.options.ChecksFences, "checks-fences", c.options.ChecksFences, "refuse lower fences")
+	f.BoolVar(&c.options.ChecksFences, "checks-fences", c.options.ChecksFences, "reject lower fencing tokens")
 }
 
 func (c *endpointCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
