--- a/lab/cmd/load/pair.go
+++ b/lab/cmd/load/pair.go
@@ -60,14 +60,14 @@
 	}
 }
 
-func (l *latencies) record(first time.Duration, gaps []time.Duration, err error) {
+func (l *latencies) record(firstToken time.Duration, gaps []time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
 		l.failed++
 		return
 	}
-	_ = l.firstToken.RecordValue(first.Microseconds())
+	_ = l.firstToken.RecordValue(firstToken.Microseconds())
 	for _, gap := range gaps {
 		_ = l.tokenGaps.RecordValue(gap.Microseconds())
 	}
@@ -80,12 +80,12 @@
 		// the default rate is about half of their capacity.
 		b := newTestbed(t, 2, "-slots", "32", "-token-time", "10ms", "-prefill", "20ms")
 		viaEntry, direct := newLatencies(), newLatencies()
-		c.run(b, viaEntry, direct)
+		c.generateLoad(b, viaEntry, direct)
 		printReport(viaEntry, direct)
 	})
 }
 
-func (c *pairCommand) run(b *testbed, viaEntry, direct *latencies) {
+func (c *pairCommand) generateLoad(b *testbed, viaEntry, direct *latencies) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	random := rand.New(rand.NewPCG(1, 2))
 	end := time.Now().Add(time.Duration(c.seconds) * time.Second)
--- a/lab/experiments/admission.go
+++ b/lab/experiments/admission.go
@@ -139,13 +139,13 @@
 func (r *admissionSimulation) scheduleArrivals(workspace string, from time.Time, rate func(time.Time) float64) {
 	gap := time.Duration(r.random.ExpFloat64() / rate(from) * float64(time.Second))
 	r.schedule(from.Add(gap), func(now time.Time) {
-		q := &simRequest{workspace: workspace, serviceTime: r.serviceTime()}
+		q := &simRequest{workspace: workspace, serviceTime: r.drawServiceTime()}
 		r.arrive(now, q)
 		r.scheduleArrivals(workspace, now, rate)
 	})
 }
 
-func (r *admissionSimulation) serviceTime() time.Duration {
+func (r *admissionSimulation) drawServiceTime() time.Duration {
 	x := math.Exp(r.random.NormFloat64()*serviceTimeSigma - serviceTimeSigma*serviceTimeSigma/2)
 	return time.Duration(x * float64(meanServiceTime))
 }
--- a/lab/experiments/baselines.go
+++ b/lab/experiments/baselines.go
@@ -79,20 +79,20 @@
 	actions   []placement.Action
 }
 
-func newBaseline(v placement.View) *baseline {
+func newBaseline(view placement.View) *baseline {
 	b := &baseline{
-		view: v, byID: map[fleet.InstanceID]placement.Instance{}, free: map[string][]placement.Instance{},
+		view: view, byID: map[fleet.InstanceID]placement.Instance{}, free: map[string][]placement.Instance{},
 		counts: map[string]int{}, dissolved: map[fleet.GroupID]bool{},
 	}
 	sort.Slice(b.view.Groups, func(i, j int) bool { return b.view.Groups[i].ID < b.view.Groups[j].ID })
 	owned := map[fleet.InstanceID]bool{}
-	for _, g := range v.Groups {
+	for _, g := range view.Groups {
 		b.counts[g.Template]++
 		for _, m := range g.Members {
 			owned[m.Instance] = true
 		}
 	}
-	for _, in := range v.Instances {
+	for _, in := range view.Instances {
 		b.byID[in.ID] = in
 		if _, ok := b.free[in.Domain]; !ok {
 			b.domains = append(b.domains, in.Domain)
--- a/lab/experiments/placement.go
+++ b/lab/experiments/placement.go
@@ -28,9 +28,9 @@
 	return want
 }
 
-// trace returns a trace of one data centre: 17 instances in domains of 9 and 8,
+// newTrace returns a trace of one data centre: 17 instances in domains of 9 and 8,
 // and two models with three groups of four in the day.
-func trace(seed uint64, downtime, stranded float64) PlacementTrace {
+func newTrace(seed uint64, downtime, stranded float64) PlacementTrace {
 	demand := func(name string, want int) placement.Demand {
 		return placement.Demand{
 			Template: name, Weights: name + "@1", Role: fleet.RoleMixed, Size: 4, Want: want,
@@ -86,7 +86,7 @@
 		for _, name := range policyOrder {
 			var sum PlacementResult
 			for seed := range uint64(placementSeeds) {
-				r := RunPlacement(trace(seed, u.downtime, u.stranded), policies(seed)[name])
+				r := RunPlacement(newTrace(seed, u.downtime, u.stranded), policies(seed)[name])
 				sum.Downtime += r.Downtime / placementSeeds
 				sum.Stranded += r.Stranded / placementSeeds
 				sum.Loads += r.Loads
--- a/lab/experiments/placement_simulation.go
+++ b/lab/experiments/placement_simulation.go
@@ -80,12 +80,12 @@
 }
 
 // RunPlacement simulates a policy over a trace.
-func RunPlacement(t PlacementTrace, policy Policy) PlacementResult {
+func RunPlacement(trace PlacementTrace, policy Policy) PlacementResult {
 	s := &placementSimulation{
-		trace: t, random: rand.New(rand.NewPCG(t.Seed, 77)), now: simulationStart,
+		trace: trace, random: rand.New(rand.NewPCG(trace.Seed, 77)), now: simulationStart,
 		byID: map[fleet.InstanceID]*simInstance{}, groups: map[fleet.GroupID]fleet.Group{},
 	}
-	for d, size := range t.Domains {
+	for d, size := range trace.Domains {
 		for i := range size {
 			id := fleet.InstanceID(fmt.Sprintf("d%02d-%03d", d, i))
 			m := &simInstance{}
@@ -98,10 +98,10 @@
 			s.byID[id] = m
 		}
 	}
-	s.nextRackFailure = simulationStart.Add(t.RackFailureInterval)
+	s.nextRackFailure = simulationStart.Add(trace.RackFailureInterval)
 	// Exclude the initial loads from the results.
 	measureFrom := simulationStart.Add(time.Hour)
-	end := simulationStart.Add(time.Duration(t.Days) * 24 * time.Hour)
+	end := simulationStart.Add(time.Duration(trace.Days) * 24 * time.Hour)
 	for s.now.Before(end) {
 		s.now = s.now.Add(tickInterval)
 		s.injectFailures()
