--- a/lab/cluster/observe.go
+++ b/lab/cluster/observe.go
@@ -74,15 +74,15 @@
 	})
 }
 
-// Runs returns how many executions of requests with a mark were started, over
-// all running endpoints.
-func (c *Cluster) Runs(mark string) int {
+// Runs returns how many executions were started for an idempotency key or attempt
+// id, over all running endpoints.
+func (c *Cluster) Runs(key string) int {
 	total := 0
 	for _, p := range c.Endpoints {
 		if !p.running {
 			continue
 		}
-		response, err := http.Get("http://" + p.Address + "/standin/runs?mark=" + mark)
+		response, err := http.Get("http://" + p.Address + "/standin/runs?mark=" + key)
 		require.NoError(c.t, err)
 		var n int
 		_, err = fmt.Fscan(response.Body, &n)
--- a/lab/cmd/load/pair.go
+++ b/lab/cmd/load/pair.go
@@ -126,7 +126,7 @@
 
 // send sends a request and measures the time to its first token and the gaps
 // between tokens.
-func send(client *http.Client, request *http.Request) (first time.Duration, gaps []time.Duration, err error) {
+func send(client *http.Client, request *http.Request) (firstToken time.Duration, gaps []time.Duration, err error) {
 	start := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
@@ -150,7 +150,7 @@
 		}
 		now := time.Now()
 		if last.IsZero() {
-			first = now.Sub(start)
+			firstToken = now.Sub(start)
 		} else {
 			gaps = append(gaps, now.Sub(last))
 		}
@@ -159,7 +159,7 @@
 	if !done {
 		return 0, nil, errors.New("incomplete response: stream ended without [DONE]")
 	}
-	return first, gaps, nil
+	return firstToken, gaps, nil
 }
 
 func printReport(viaEntry, direct *latencies) {
--- a/lab/cmd/load/steady.go
+++ b/lab/cmd/load/steady.go
@@ -73,10 +73,10 @@
 const formTimeout = 4 * time.Minute
 
 func (c *steadyCommand) waitServing(t *standaloneT, cl *cluster.Cluster, groups int) {
-	end := time.Now().Add(formTimeout)
+	deadline := time.Now().Add(formTimeout)
 	for _, e := range cl.Entries {
 		for len(e.Serving("load")) < groups {
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				t.Fatalf("%s serves %d of %d groups after %s", e.Name, len(e.Serving("load")), groups, formTimeout)
 			}
 			time.Sleep(100 * time.Millisecond)
--- a/lab/experiments/admission.go
+++ b/lab/experiments/admission.go
@@ -38,14 +38,14 @@
 	now   time.Time
 }
 
-func (c *eventLoop) schedule(at time.Time, do func(now time.Time)) {
-	heap.Push(&c.queue, event{at, do})
+func (l *eventLoop) schedule(at time.Time, do func(now time.Time)) {
+	heap.Push(&l.queue, event{at, do})
 }
 
-func (c *eventLoop) run(end time.Time) {
-	for len(c.queue) > 0 && c.queue[0].at.Before(end) {
-		next := heap.Pop(&c.queue).(event)
-		c.now = next.at
+func (l *eventLoop) run(end time.Time) {
+	for len(l.queue) > 0 && l.queue[0].at.Before(end) {
+		next := heap.Pop(&l.queue).(event)
+		l.now = next.at
 		next.do(next.at)
 	}
 }
