--- a/internal/standin/enginestandin/slots.go
+++ b/internal/standin/enginestandin/slots.go
@@ -21,28 +21,28 @@
 		s.mu.Unlock()
 		return true
 	}
-	turn := make(chan struct{})
-	s.queue[priority] = append(s.queue[priority], turn)
+	granted := make(chan struct{})
+	s.queue[priority] = append(s.queue[priority], granted)
 	s.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return true
 	case <-done:
 	case <-cancelled:
 	}
-	if !s.withdraw(priority, turn) {
+	if !s.withdraw(priority, granted) {
 		// The slot was granted concurrently with the cancellation.
 		s.release()
 	}
 	return false
 }
 
-func (s *slots) withdraw(priority int, turn chan struct{}) bool {
+func (s *slots) withdraw(priority int, granted chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.queue[priority]
 	for i, other := range q {
-		if other == turn {
+		if other == granted {
 			s.queue[priority] = append(q[:i:i], q[i+1:]...)
 			return true
 		}
