--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// A client that stops reading is disconnected instead of buffering without
+// A caller that stops reading is disconnected instead of buffering without
 // bound.
 func TestServe_DisconnectsSlowReaders(t *testing.T) {
 	other := newEngineStandIn().Handler()
@@ -242,7 +242,7 @@
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	require.NoError(t, err)
 	assert.Contains(t, line, "200")
-	// The client reads no further; the request must still end.
+	// The caller reads no further; the request must still end.
 	require.Eventually(t, func() bool { return b.gateway.inFlight.Load() == 0 }, 30*time.Second, 10*time.Millisecond)
 	response, text := b.send("POST", engine.PathChat, chatBody, nil)
 	assert.Equal(t, 200, response.StatusCode, text)
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -36,7 +36,7 @@
 	OutcomeUnknown Outcome = "unknown"
 	// OutcomeServed is for metrics: the caller has the complete response.
 	OutcomeServed Outcome = "served"
-	// OutcomeClientGone is for metrics: the client disconnected.
+	// OutcomeClientGone is for metrics: the caller disconnected.
 	OutcomeClientGone Outcome = "gone"
 )
 
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -22,7 +22,7 @@
 
 // Causes of a request context's cancellation.
 var (
-	// ErrClientGone means that the client disconnected.
+	// ErrClientGone means that the caller disconnected.
 	ErrClientGone = httpserver.ErrClientGone
 	errDeadline   = errors.New("the deadline has passed")
 	errStalled    = errors.New("the group became incomplete or stalled during the response")
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,5 +1,5 @@
 // Package httpserver runs nbhttp servers with limits, detection of disconnected
-// clients and graceful close of idle connections.
+// callers and graceful close of idle connections.
 package httpserver
 
 import (
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxWriteBuffer bounds the bytes buffered for a slow client; beyond it the
+	// maxWriteBuffer bounds the bytes buffered for a slow caller; beyond it the
 	// connection is closed.
 	maxWriteBuffer = 1 << 20
 	idleTimeout    = 2 * time.Minute
@@ -59,7 +59,7 @@
 const tooLargeResponse = `{"error":{"message":"the request is larger than this entry instance takes","type":"too_large","outcome":"not-run"}}` + "\n"
 
 // discardTime is how long the rest of such a request is read and discarded: closing
-// at once would reset the connection before the client reads the response.
+// at once would reset the connection before the caller reads the response.
 const discardTime = 2 * time.Second
 
 // installHandlers replaces nbhttp's data handler, which closes the connection of
--- a/internal/httpserver/responder.go
+++ b/internal/httpserver/responder.go
@@ -11,10 +11,10 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// ErrClientGone means that the client disconnected.
-var ErrClientGone = errors.New("client disconnected")
+// ErrClientGone means that the caller disconnected.
+var ErrClientGone = errors.New("caller disconnected")
 
-// sweepInterval is how often open requests are checked for disconnected clients:
+// sweepInterval is how often open requests are checked for disconnected callers:
 // nbhttp does not report a disconnect while a handler runs.
 const sweepInterval = 100 * time.Millisecond
 
@@ -31,7 +31,7 @@
 }
 
 // NewResponder returns a responder for one request. A Tracker calls cancel when
-// the client disconnects.
+// the caller disconnects.
 func NewResponder(w http.ResponseWriter, cancel context.CancelCauseFunc) *Responder {
 	out := &Responder{w: w, cancel: cancel}
 	response, ok := w.(*nbhttp.Response)
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Closed reports whether the client's connection is closed.
+// Closed reports whether the caller's connection is closed.
 func (r *Responder) Closed() bool {
 	if r.checker == nil {
 		return false
@@ -83,10 +83,10 @@
 // End completes the response; nbhttp does so when the handler returns.
 func (r *Responder) End() {}
 
-// Abort closes the connection, so that the client sees that the response is incomplete.
+// Abort closes the connection, so that the caller sees that the response is incomplete.
 func (r *Responder) Abort() {
 	if flusher, ok := r.w.(http.Flusher); ok && !r.Closed() {
-		// Send a status that is still buffered, so that the client receives it.
+		// Send a status that is still buffered, so that the caller receives it.
 		flusher.Flush()
 	}
 	if r.conn != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Tracker cancels the requests of disconnected clients.
+// Tracker cancels the requests of disconnected callers.
 type Tracker struct {
 	mu   sync.Mutex
 	open map[*Responder]struct{}
@@ -110,7 +110,7 @@
 }
 
 // Begin starts to track a request. The context is cancelled with the cause
-// ErrClientGone when the client disconnects. The caller calls done when the
+// ErrClientGone when the caller disconnects. Call done when the
 // request is finished.
 func (t *Tracker) Begin(w http.ResponseWriter) (ctx context.Context, r *Responder, done func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -19,7 +19,7 @@
 type result uint8
 
 const (
-	// resultDone: the client has its final response, or has disconnected.
+	// resultDone: the caller has its final response, or has disconnected.
 	resultDone result = iota
 	// resultNotRun: the endpoint certainly did not run the request.
 	resultNotRun
@@ -105,7 +105,7 @@
 	return c.finishIfDone(ctx, resultNotRun)
 }
 
-// recordFailure counts an incomplete attempt as a failure of its endpoint, unless the client, the
+// recordFailure counts an incomplete attempt as a failure of its endpoint, unless the caller, the
 // deadline or the stall detector cancelled it. It also starts a crash probe, since the request
 // itself may have crashed the endpoint.
 func (c *call) recordFailure(ctx context.Context, t target, active *activeRequest) {
@@ -222,7 +222,7 @@
 
 // requestStallAfter is how long a stream may receive nothing from an endpoint that sends events to
 // other requests before it is resumed elsewhere: its connection may be dead without a reset. It is
-// below the two seconds after which clients give up.
+// below the two seconds after which callers give up.
 const requestStallAfter = 1500 * time.Millisecond
 
 // stallAfter returns how long an endpoint may be silent on all requests.
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -269,7 +269,7 @@
 }
 
 // A stream whose connection is silent while its head sends events to others is resumed elsewhere
-// before the client gives up.
+// before the caller gives up.
 func TestStall_DetectsSilentConnection(t *testing.T) {
 	now := time.Now()
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
--- a/internal/relay/buffered.go
+++ b/internal/relay/buffered.go
@@ -51,7 +51,7 @@
 	}
 	c.logAttempt(t, "the endpoint failed", errors.New("status "+strconv.Itoa(response.Status)))
 	if impliesNotRun(response.Status) {
-		// The status would tell the client that the request has not run, but it has.
+		// The status would imply that the request has not run, but it has.
 		return resultIncomplete
 	}
 	c.endpointFailure = answer
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordSuccess tells the quarantine that the request does not crash endpoints, if the response has
+// recordSuccess reports to the quarantine that the request does not crash endpoints, if the response has
 // explicit framing: one that ends with its connection looks complete even if the endpoint crashed.
 func (c *call) recordSuccess(response *upstream.Response, now time.Time) {
 	if response.Marked {
@@ -76,7 +76,7 @@
 	}
 }
 
-// impliesNotRun reports whether a status tells clients that the request has not run.
+// impliesNotRun reports whether a status implies that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -85,7 +85,7 @@
 	return false
 }
 
-// sendBuffered sends the client an endpoint's complete response.
+// sendBuffered sends the caller an endpoint's complete response.
 func (c *call) sendBuffered(a *bufferedResponse) {
 	c.outcome = outcomeServed
 	if a.status >= http.StatusBadRequest {
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -17,7 +17,7 @@
 	head *directory.Head
 }
 
-// rejection is why a request has no target, and when the client may retry.
+// rejection is why a request has no target, and when the caller may retry.
 type rejection struct {
 	cause      string
 	retryAfter time.Duration
@@ -97,7 +97,7 @@
 }
 
 // holdRejection returns why a request has no target when all remaining endpoints are on hold.
-// Cooldowns apply to this node only, so the client may retry soon on a new connection, which may
+// Cooldowns apply to this node only, so the caller may retry soon on a new connection, which may
 // reach another node.
 func (c *call) holdRejection(endpoints []*serving.Endpoint, now time.Time) rejection {
 	cooldown := c.options.Throttle.CooldownRetryAfter(endpoints, now)
@@ -118,14 +118,14 @@
 
 const (
 	// resumeWait is how long an interrupted stream waits for another endpoint. A takeover by a
-	// warm spare takes about as long, and clients wait at least two seconds between events.
+	// warm spare takes about as long, and callers wait at least two seconds between events.
 	resumeWait         = 1500 * time.Millisecond
 	resumePollInterval = 50 * time.Millisecond
 )
 
 // awaitTarget picks an endpoint, waiting a little if a stream was interrupted at another one. It
 // does not wait for a cooldown before the response has started: the end of the cooldown is known,
-// and the client may reach another node.
+// and the caller may reach another node.
 func (c *call) awaitTarget(ctx context.Context) (target, rejection) {
 	t, reason := c.choose(ctx, time.Now())
 	if t.Endpoint != nil || c.attempts == 0 || c.route.Kind != serving.KindStream {
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -13,7 +13,7 @@
 // model at a small node, short enough to follow a surge within seconds.
 const demandWindow = 4 * time.Second
 
-// Demand measures the work that clients request of each model, including rejected requests, as the
+// Demand measures the work that callers request of each model, including rejected requests, as the
 // number of groups that it would keep busy with full batches. It is safe for concurrent use.
 type Demand struct {
 	mu    sync.Mutex
--- a/internal/relay/predict.go
+++ b/internal/relay/predict.go
@@ -15,7 +15,7 @@
 	Objective time.Duration
 }
 
-// isLate reports whether the first event is predicted so late that the client should retry instead.
+// isLate reports whether the first event is predicted so late that the caller should retry instead.
 func (s RequestSize) isLate(p Prediction, factor float64) bool {
 	return s.Objective > 0 && float64(p.First) > factor*float64(s.Objective)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -38,7 +38,7 @@
 	MaxRequests int
 }
 
-// Responder writes the response to one client.
+// Responder writes the response to one caller.
 type Responder interface {
 	// Begin sends the status and header; it is called once, before the other methods.
 	Begin(status int, header http.Header)
@@ -46,11 +46,11 @@
 	Write(p []byte) error
 	// End completes the response.
 	End()
-	// Abort ends an incomplete response so that the client can tell that it is incomplete.
+	// Abort ends an incomplete response so that the caller detects that it is incomplete.
 	Abort()
 }
 
-// Request is a client's request with its whole body.
+// Request is a caller's request with its complete body.
 type Request struct {
 	Method string
 	// URI is the path with the query, as received; Path is without the query.
@@ -61,7 +61,7 @@
 	Body   []byte
 }
 
-// Relay forwards clients' requests to endpoints. It is safe for concurrent use.
+// Relay forwards callers' requests to endpoints. It is safe for concurrent use.
 type Relay struct {
 	options          Options
 	log              logging.Logger
@@ -96,7 +96,7 @@
 // HasReceivedRequests reports whether any request has arrived since the start.
 func (r *Relay) HasReceivedRequests() bool { return r.hasRequests.Load() }
 
-// CloseConnections makes every response ask the client to close its connection.
+// CloseConnections makes every response ask the caller to close its connection.
 func (r *Relay) CloseConnections() { r.closeConnections.Store(true) }
 
 // Drain makes the relay reject new requests.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -197,7 +197,7 @@
 	_ = c.Close()
 }
 
-// stall sends nothing until the client closes the connection.
+// stall sends nothing until the caller closes the connection.
 func stall(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }
 
 // fixture is a relay with its endpoints.
@@ -460,7 +460,7 @@
 		second script
 		status int
 		body   string
-		// complete is whether the response looks complete to the client.
+		// complete is whether the response looks complete to the caller.
 		complete bool
 		arrivals int
 		// last is the event after which the second attempt resumes.
@@ -540,7 +540,7 @@
 	require.True(t, out.ended)
 }
 
-func TestServe_ClientDisconnectCancelsAttempt(t *testing.T) {
+func TestServe_CallerDisconnectCancelsAttempt(t *testing.T) {
 	disconnected := make(chan struct{})
 	e := newEndpoint(t, events(1, 1, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 1))
@@ -583,7 +583,7 @@
 	}
 }
 
-// Guards against an attempt that its client can't wait for.
+// Guards against an attempt that its caller can't wait for.
 func TestServe_SendsNothingNearDeadline(t *testing.T) {
 	e := newEndpoint(t, events(1, 5, endStream))
 	fx := newFixture(t, nil, []*endpoint{e})
@@ -663,7 +663,7 @@
 	require.Empty(t, fx.relay.options.Balancer.Suspects(time.Now()))
 }
 
-// A client's deadline passes while the machine is suspended; the monotonic clock does not show it.
+// A caller's deadline passes while the machine is suspended; the monotonic clock does not show it.
 // The request must not be retried.
 func TestServe_SuspensionCountsTowardsDeadline(t *testing.T) {
 	var suspended atomic.Int64
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -40,13 +40,13 @@
 	route     *serving.Route
 	service   string
 	workspace string
-	// fingerprint is the same for all requests by which a client retries the same work.
+	// fingerprint is the same for all requests by which a caller retries the same work.
 	fingerprint quarantine.Fingerprint
 	class       *metrics.Class
 	start       time.Time
 	// suspended is how long the machine had been suspended in total at the start.
 	suspended time.Duration
-	// deadline is the earlier of the client's deadline and the route's timeout.
+	// deadline is the earlier of the caller's deadline and the route's timeout.
 	deadline time.Time
 	// attempts counts the endpoints that the request was sent to, and rejections how many of
 	// them answered that they did not run it.
@@ -70,7 +70,7 @@
 }
 
 // Serve runs one request and responds to it. The context is cancelled with
-// httpserver.ErrClientGone as its cause when the client disconnects.
+// httpserver.ErrClientGone as its cause when the caller disconnects.
 func (r *Relay) Serve(ctx context.Context, in *Request, out Responder) {
 	r.hasRequests.Store(true)
 	current := r.inFlight.Add(1)
@@ -118,7 +118,7 @@
 
 const (
 	// viewWait is how long a request waits for a node that has just started to read the
-	// configuration and the endpoints: a retry by the client would miss its latency objective.
+	// configuration and the endpoints: a retry by the caller would miss its latency objective.
 	// After startupPeriod, requests to a node without them are rejected at once.
 	viewWait         = 200 * time.Millisecond
 	startupPeriod    = time.Second
@@ -171,14 +171,14 @@
 	return true
 }
 
-// computeFingerprint returns a fingerprint that stays the same when the client retries with another
+// computeFingerprint returns a fingerprint that stays the same when the caller retries with another
 // ID or at another node.
 func (c *call) computeFingerprint() quarantine.Fingerprint {
-	client := c.workspace
-	if client == "" {
-		client = c.attrs.Key
+	caller := c.workspace
+	if caller == "" {
+		caller = c.attrs.Key
 	}
-	return quarantine.FingerprintOf([]byte(client), []byte(c.in.Host), []byte(c.in.Method), []byte(c.in.URI), c.in.Body)
+	return quarantine.FingerprintOf([]byte(caller), []byte(c.in.Host), []byte(c.in.Method), []byte(c.in.URI), c.in.Body)
 }
 
 // recordDemand counts the estimated work of the request.
@@ -253,7 +253,7 @@
 	}
 }
 
-// retryAfterAttempts returns when the client may retry once all attempts are used up. Requests that
+// retryAfterAttempts returns when the caller may retry once all attempts are used up. Requests that
 // endpoints shed may be served at once through another node, which has no cooldown; after other
 // failures a group may need repair.
 func (c *call) retryAfterAttempts() time.Duration {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// relayEvent relays one event; it returns false if the client has disconnected.
+// relayEvent relays one event; it returns false if the caller has disconnected.
 func (c *call) relayEvent(t target, e event, header http.Header, now time.Time) bool {
 	if !c.responseStarted {
 		answer := c.options.Wire.Answer(header)
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -1,4 +1,4 @@
-// Package relay forwards clients' requests to endpoints.
+// Package relay forwards callers' requests to endpoints.
 //
 // Serve checks a request against the current configuration, Balancer chooses an endpoint,
 // internal/upstream sends the request, and the response is relayed as it arrives (stream.go) or
@@ -16,7 +16,7 @@
 
 // Wire translates between headers and the relay's types.
 type Wire interface {
-	// Attributes parses a client's header. An error is a *RequestError.
+	// Attributes parses a caller's header. An error is a *RequestError.
 	Attributes(h http.Header) (Attributes, error)
 	// Outgoing returns the header for an endpoint.
 	Outgoing(h http.Header, s OutgoingAttempt) http.Header
@@ -24,7 +24,7 @@
 	Verdict(h http.Header) Verdict
 	// Statement parses what an endpoint's response states about the endpoint.
 	Statement(status int, h http.Header) advisory.Statement
-	// Answer returns the header for the client of an endpoint's response.
+	// Answer returns the header for the caller of an endpoint's response.
 	Answer(h http.Header) http.Header
 	// OwnAnswer returns the header of a response of the relay's own, with a Retry-After unless
 	// it is zero.
@@ -36,14 +36,14 @@
 	// ID identifies the request; responses repeat it.
 	ID  string
 	Key string
-	// Remaining is the time until the client's deadline, if HasDeadline is set.
+	// Remaining is the time until the caller's deadline, if HasDeadline is set.
 	Remaining   time.Duration
 	HasDeadline bool
 	// Model and the sizes are empty for plain services.
 	Model        string
 	PromptTokens int
 	MaxTokens    int
-	// LengthHint is the client's estimate of the output tokens, or zero.
+	// LengthHint is the caller's estimate of the output tokens, or zero.
 	LengthHint int
 	// LastEvent is the event after which a stream is resumed.
 	LastEvent string
@@ -57,7 +57,7 @@
 	return a.MaxTokens
 }
 
-// OutgoingAttempt is what is added to the client's header for an endpoint.
+// OutgoingAttempt is what is added to the caller's header for an endpoint.
 type OutgoingAttempt struct {
 	Endpoint  serving.EndpointID
 	Remaining time.Duration
