--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -246,7 +246,7 @@
 	b.ReportMetric(float64(counter.Written.Load()-written)/float64(b.N), "B-written/poll")
 }
 
-// fixedAnswerHandler answers all exchanges with the same message.
+// fixedAnswerHandler responds to all exchanges with the same message.
 type fixedAnswerHandler struct{ answer *peers.Message }
 
 func (h fixedAnswerHandler) Exchange(context.Context, *peers.Message) (*peers.Message, error) {
--- a/internal/directory/configuration.go
+++ b/internal/directory/configuration.go
@@ -23,7 +23,7 @@
 	d.configurationAnsweredAt = now
 }
 
-// LastConfigurationAnswer returns when the store last answered this node about the configuration,
+// LastConfigurationAnswer returns when the store last completed a call for the configuration,
 // or when the node started. It does not advance on a node that relies on its relay node for the
 // configuration.
 func (d *Directory) LastConfigurationAnswer() time.Time {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -72,7 +72,7 @@
 	mu               sync.Mutex
 	configuration    *serving.Configuration
 	configurationRow []byte
-	// configurationAnsweredAt is when the store last answered a configuration read or watch,
+	// configurationAnsweredAt is when the store last completed a configuration read or watch,
 	// changed or not, or when the node started.
 	configurationAnsweredAt time.Time
 	endpoints               map[serving.EndpointID]*endpointRecord
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -25,10 +25,10 @@
 	// read because the store no longer has the history after the version.
 	version       uint64
 	needsFullRead bool
-	// down is set while the store does not answer; failures counts consecutive failed calls.
+	// down is set while the store does not respond; failures counts consecutive failed calls.
 	down     bool
 	failures int
-	// calledAt is when the last call started, answeredAt when one was last answered.
+	// calledAt is when the last call started, answeredAt when one last got a response.
 	calledAt   time.Time
 	answeredAt time.Time
 	// rows is the number of rows of the last call; skipped is set when it was left out.
@@ -99,7 +99,7 @@
 const maxDoublings = 16
 
 // recordResult tracks whether the store is reachable and logs transitions, with the duration of
-// the call and the time since the last answer: a long poll that is never answered shows nowhere
+// the call and the time since the last response: a long poll without a response shows nowhere
 // else.
 func (f *follower) recordResult(err error) {
 	if f.skipped {
@@ -128,7 +128,7 @@
 }
 
 // waitTime returns the long-poll timeout of the next call. It is zero while the store is down, so
-// that its first answer shows at once that it is back.
+// that its first response shows at once that it is back.
 func (f *follower) waitTime() time.Duration {
 	if f.down {
 		return 0
@@ -136,7 +136,7 @@
 	return f.longPoll
 }
 
-// maxPageRows is the store's maximum number of rows per answer.
+// maxPageRows is the store's maximum number of rows per response.
 const maxPageRows = 500
 
 // step makes one call: a read of the whole table, or of its changes.
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -15,7 +15,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// maxConfigurationDelay is how long after the store answers again, or after a call whose answer is
+// maxConfigurationDelay is how long after the store recovers, or after a call whose response is
 // lost, a node may use an older configuration.
 const maxConfigurationDelay = 2500 * time.Millisecond
 
@@ -61,7 +61,7 @@
 	return version
 }
 
-// A watch sent during an outage is never answered, and a node with a long timeout kept an old
+// A watch sent during an outage never gets a response, and a node with a long timeout kept an old
 // configuration for seconds after the store was back. The length of the outage and the phase of
 // the watch must not matter.
 func TestWatcher_AppliesConfigurationAfterOutage(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// lossyStore never answers the watch at which its countdown reaches zero.
+// lossyStore never responds to the watch at which its countdown reaches zero.
 type lossyStore struct {
 	*memtable.Table
 	countdown int
@@ -102,7 +102,7 @@
 	return s.Table.Watch(ctx, name, since, wait)
 }
 
-// A lost answer of an available store has the same effect as an outage.
+// A lost response of an available store has the same effect as an outage.
 func TestWatcher_RecoversFromLostAnswer(t *testing.T) {
 	for lost := 1; lost <= 3; lost++ {
 		store := &lossyStore{Table: memtable.New(), countdown: lost}
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -10,7 +10,7 @@
 // WatchOptions are the intervals and timeouts of a Watcher.
 type WatchOptions struct {
 	// LongPoll is the long-poll timeout of a configuration watch. With CallTimeout it bounds how
-	// long a lost answer goes unnoticed: after an outage the store does not answer calls that were
+	// long a lost response goes undetected: after an outage the store never completes calls that were
 	// sent during it.
 	LongPoll time.Duration
 	// EndpointPause is the time between two reads of the endpoint table, whose rows change all the
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -21,7 +21,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/membership"
 )
 
-// remotePeer answers forwarded requests like an entry instance of another data
+// remotePeer responds to forwarded requests like an entry instance of another data
 // centre that finds the key claimed.
 type remotePeer struct{ forwarded atomic.Int64 }
 
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -18,7 +18,7 @@
 }
 
 // checkQuarantine reports whether the request may be sent to an endpoint; if not, it has
-// been answered with an error. It is called before each attempt, because the request may
+// got an error response. It is called before each attempt, because the request may
 // have been quarantined since the last one.
 func (c *call) checkQuarantine(ctx context.Context) bool {
 	c.g.crashDetector.AwaitProbe(ctx, c.fingerprint, c.probeDone)
@@ -31,7 +31,7 @@
 }
 
 // beginAttempt registers the attempt with the quarantine. It reports whether the request
-// may be sent; if not, it has been answered with an error.
+// may be sent; if not, it has got an error response.
 func (c *call) beginAttempt() bool {
 	if c.g.options.Quarantine.BeginAttempt(c.fingerprint, time.Now()) {
 		return true
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -89,7 +89,7 @@
 	Abort()
 }
 
-// fail answers with an error: an HTTP error before the header has been sent,
+// fail responds with an error: an HTTP error before the header has been sent,
 // or else an error event, after which the stream ends without [DONE].
 func (c *call) fail(f errorResponse) {
 	if f.outcome == OutcomeNotRun {
@@ -101,7 +101,7 @@
 		// Rejections are most frequent under overload.
 		logAt = c.log.Debug
 	}
-	logAt("answered with an error", "status", f.status, "outcome", string(f.outcome), "reason", f.message)
+	logAt("responded with an error", "status", f.status, "outcome", string(f.outcome), "reason", f.message)
 	body := f.body(c.id)
 	if c.headerSent {
 		_ = c.out.Write([]byte("event: error\ndata: "))
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -57,7 +57,7 @@
 	lastToken time.Time
 }
 
-// Serve runs one request and answers it. The context is cancelled with the
+// Serve runs one request and responds to it. The context is cancelled with the
 // cause ErrClientGone when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, in *Request, out Responder) {
 	g.inFlight.Add(1)
@@ -130,7 +130,7 @@
 }
 
 // reject forwards a request that admission rejected to another data centre, or
-// else answers it with an error.
+// else responds with an error.
 func (c *call) reject(ctx context.Context, d admission.Decision) {
 	if d.Reason != admission.ReasonLimit && c.forward(ctx) {
 		return
@@ -150,7 +150,7 @@
 	return OutcomeNotRun
 }
 
-// failContextDone answers a request whose context is done.
+// failContextDone responds to a request whose context is done.
 func (c *call) failContextDone(ctx context.Context) {
 	if errors.Is(context.Cause(ctx), ErrClientGone) {
 		c.outcome = OutcomeClientGone
@@ -209,7 +209,7 @@
 	attemptBroken
 )
 
-// attemptAll tries groups until the request has been answered.
+// attemptAll tries groups until the response is final.
 func (c *call) attemptAll(ctx context.Context) {
 	for attempts := 0; ; attempts++ {
 		if ctx.Err() != nil {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -3,7 +3,7 @@
 //
 // A network partition sends no reset, and an open connection may stay dead while new
 // ones work. A connection is closed by the kernel if sent data is not acknowledged, or
-// keep-alive probes are not answered, for Silence.
+// keep-alive probes are not acknowledged, for Silence.
 package link
 
 import (
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -53,7 +53,7 @@
 	return qlist.Incarnation(xxh3.HashString(string(i.Endpoint)+" "+strconv.FormatInt(i.StartedAt, 10)) + uint64(i.unlistedRestarts))
 }
 
-// Detector determines which endpoints crashed, among those at which requests broke off. A
+// Detector determines which endpoints crashed, among those at which requests were interrupted. A
 // refused dial is immediate evidence, since a terminated process leaves no listener. Truncated
 // responses, reset connections and unreachable endpoints are not counted as crashes.
 type Detector struct {
@@ -70,12 +70,12 @@
 	watching bool
 }
 
-// suspectedCrash has the requests that broke off at one incarnation.
+// suspectedCrash has the requests that were interrupted at one incarnation.
 type suspectedCrash struct {
 	fingerprints []qlist.Fingerprint
 	lastBroken   time.Time
 	// probing is set from the start of a dial until no other is to follow it, probeAgain if
-	// a request broke off since the last dial started.
+	// a request was interrupted since the last dial started.
 	probing    bool
 	probeAgain bool
 	// probeDone is closed when the dial in flight completes.
@@ -93,7 +93,7 @@
 	return &Detector{log: logging.For("quarantine"), quarantine: q, replaced: replaced, dial: dial, suspected: map[Incarnation]*suspectedCrash{}}
 }
 
-// ReportBroken records that a request sent at a time broke off at an incarnation. The returned
+// ReportBroken records that a request sent at a time was interrupted at an incarnation. The returned
 // channel is closed once the crash probe completes; it is nil if none is in flight.
 func (d *Detector) ReportBroken(f qlist.Fingerprint, inc Incarnation, sent, now time.Time) (probeDone <-chan struct{}) {
 	d.mu.Lock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// probe dials the endpoint, and dials it again if requests broke off meanwhile.
+// probe dials the endpoint, and dials it again if requests were interrupted meanwhile.
 func (d *Detector) probe(inc Incarnation, s *suspectedCrash, lastProbe time.Time) {
 	for again := true; again; {
 		time.Sleep(time.Until(lastProbe.Add(probeInterval)))
@@ -157,7 +157,7 @@
 	}
 }
 
-// probeOnce dials the endpoint and reports whether to dial again, since a request broke off
+// probeOnce dials the endpoint and reports whether to dial again, since a request was interrupted
 // meanwhile.
 func (d *Detector) probeOnce(inc Incarnation, s *suspectedCrash, now time.Time) bool {
 	d.mu.Lock()
@@ -179,7 +179,7 @@
 	return s.probing
 }
 
-// recordCrash attributes a crash to all requests that broke off at the endpoint; the caller
+// recordCrash attributes a crash to all requests that were interrupted at the endpoint; the caller
 // holds the lock.
 func (d *Detector) recordCrash(inc Incarnation, s *suspectedCrash, evidence string, now time.Time) {
 	d.log.Info("endpoint crashed while running requests", "endpoint", string(inc.Endpoint), "started_at", inc.StartedAt, "address", inc.Address,
--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -38,7 +38,7 @@
 		{"interrupted stream", hostStream, nil, []*endpoint{newEndpoint(t, events(1, 2, breakStream), events(3, 3, breakStream)), newEndpoint(t, events(3, 3, breakStream))},
 			[]string{"broken: attempts used up", "a broken stream at h"}},
 		{"rejection", hostStream, nil, nil, []string{"refused: no group is open"}},
-		{"non-repeatable request answered with 502", hostOnce, []*endpoint{newEndpoint(t, closeConn)}, nil,
+		{"non-repeatable request gets 502", hostOnce, []*endpoint{newEndpoint(t, closeConn)}, nil,
 			[]string{"failed: it may not run twice", "no answer at p0"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -49,7 +49,7 @@
 	// deadline is the earlier of the caller's deadline and the route's timeout.
 	deadline time.Time
 	// attempts counts the endpoints that the request was sent to, and rejections how many of
-	// them answered that they did not run it.
+	// them reported that they did not run it.
 	attempts   int
 	rejections int
 	// wasShed is set once an endpoint has rejected the request and asked for a cooldown.
@@ -331,10 +331,10 @@
 		c.reject(reason)
 		return
 	case reason.cause == causeDeadline:
-		c.respond(http.StatusGatewayTimeout, "the answer did not come in time", 0)
+		c.respond(http.StatusGatewayTimeout, "the response did not arrive in time", 0)
 		c.outcome = outcomeFailed
 	default:
-		c.respond(http.StatusBadGateway, "the endpoint's answer broke off; the request may have run", 0)
+		c.respond(http.StatusBadGateway, "the endpoint's response was cut off; the request may have run", 0)
 		c.outcome = outcomeFailed
 	}
 	c.logUnserved(reason)
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -71,7 +71,7 @@
 	group  member
 	// lastModel is the model of the last group of this incarnation.
 	lastModel string
-	// Terminated endpoints do nothing, unreachable ones answer no call, and unlisted ones have
+	// Terminated endpoints do nothing, unreachable ones respond to no call, and unlisted ones have
 	// no row.
 	terminated  bool
 	unreachable bool
@@ -94,7 +94,7 @@
 	formerMembers map[memberKey]bool
 	// epochs maps each epoch to the group it was last assigned to.
 	epochs map[uint64]epochGroup
-	// orderDelay returns the delay of an unanswered order, or 0 for an answered one.
+	// orderDelay returns the delay after which an order is applied without a response; 0 handles it normally.
 	orderDelay     func() time.Duration
 	loads          int
 	joinLoads      int
@@ -148,7 +148,7 @@
 	return f
 }
 
-// SetLate leaves orders unanswered and applies them after the delay that the function returns,
+// SetLate leaves orders without a response and applies them after the delay that the function returns,
 // if it is positive.
 func (f *Fleet) SetLate(delay func() time.Duration) {
 	f.mu.Lock()
@@ -170,14 +170,14 @@
 type Condition uint8
 
 const (
-	// Well endpoints answer and are listed.
+	// Healthy endpoints respond and are listed.
 	Well Condition = iota
 	// Dark endpoints are terminated and have no row.
 	Dark
 	// CutOff endpoints run, but are isolated: they have no row and controllers cannot reach
 	// them.
 	CutOff
-	// Unlisted endpoints answer, but have no row.
+	// Unlisted endpoints respond, but have no row.
 	Unlisted
 	// Leaving endpoints advertise that they are draining.
 	Leaving
@@ -261,7 +261,7 @@
 	return f.joinLoads
 }
 
-// Refused returns the number of answered orders that were rejected.
+// Refused returns the number of orders that were rejected in a response.
 func (f *Fleet) Refused() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -533,7 +533,7 @@
 	f.recordLeave(e)
 	e.group = member{}
 	f.write(e)
-	// A leave takes effect at once, which the platform's endpoints answer as done.
+	// A leave takes effect at once, which the platform's endpoints report as done.
 	return true, nil
 }
 
--- a/internal/standin/memtable/memtable.go
+++ b/internal/standin/memtable/memtable.go
@@ -19,11 +19,11 @@
 type Faults struct {
 	// Down rejects every call.
 	Down bool
-	// Silent leaves every call unanswered until its context is done.
+	// Silent leaves every call without a response until its context is done.
 	Silent bool
-	// LoseAnswers applies writes without answering them.
+	// LoseAnswers applies writes without a response.
 	LoseAnswers bool
-	// Late applies a write after this delay, if its conditions hold then, without answering
+	// Late applies a write after this delay, if its conditions hold then, without a response to
 	// it. 0 applies writes at once.
 	Late time.Duration
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -13,9 +13,9 @@
 	// ErrUnavailable means that the store rejected the call or is unreachable, and that nothing
 	// was written.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrUnknown means that a call got no answer. A write may have been committed, or may still be
+	// ErrUnknown means that a call got no response. A write may have been committed, or may still be
 	// if its condition holds then.
-	ErrUnknown = errors.New("no answer from the store")
+	ErrUnknown = errors.New("no response from the store")
 	// ErrConflict means that a condition of a change did not hold.
 	ErrConflict = errors.New("a condition of the change did not hold")
 	// ErrHistoryGone means that the watched table has to be read again.
@@ -58,6 +58,6 @@
 	// Commit applies a change and returns its version. A condition on a version of an earlier era
 	// does not hold.
 	Commit(ctx context.Context, c Change) (uint64, error)
-	// Era returns the newest era that any answer of the store has named.
+	// Era returns the newest era that any response of the store has named.
 	Era() uint64
 }
--- a/internal/table/version.go
+++ b/internal/table/version.go
@@ -1,8 +1,8 @@
 package table
 
-// The store may be restored from a copy some seconds old. Later writes are then lost and their
+// The store may be restored from an older copy. Later writes are then lost and their
 // version numbers reused, so numbers compare only within one era, which the store names with each
-// answer. A version here has the era in its high bits, so that versions of different eras compare
+// response. A version here has the era in its high bits, so that versions of different eras compare
 // correctly.
 
 // eraShift is the number of bits of a version's number: enough for thirty years of some thousand
--- a/lab/integration/members_test.go
+++ b/lab/integration/members_test.go
@@ -28,7 +28,7 @@
 	return started, answer
 }
 
-// assertComplete checks that an answer is the complete response to the prompt.
+// assertComplete checks that a response is the complete response to the prompt.
 func assertComplete(t *testing.T, a cluster.Answer, prompt string, tokens int) {
 	t.Helper()
 	require.NoError(t, a.Err)
--- a/lab/integration/once_test.go
+++ b/lab/integration/once_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// assertAtMostOnce checks that a key ran at most once and that the outcome of every answer is
-// accurate. It returns the number of complete answers.
+// assertAtMostOnce checks that a key ran at most once and that the outcome of every response is
+// accurate. It returns the number of complete responses.
 func assertAtMostOnce(t *testing.T, c *cluster.Cluster, key string, answers []cluster.Answer) (served int) {
 	t.Helper()
 	runs := c.Runs(key)
@@ -113,7 +113,7 @@
 	}
 }
 
-// Under freezes and partitions of members, complete answers must be correct, truncated streams
+// Under freezes and partitions of members, complete responses must be correct, truncated streams
 // must end with an error, and requests rejected as not run must not have run.
 func TestOutcome_AccurateUnderFaults(t *testing.T) {
 	t.Parallel()
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -133,7 +133,7 @@
 		r.recordViolation("request %s ran %d times", id, runs)
 	}
 	if response == nil {
-		r.count("no answer")
+		r.count("no response")
 		return false
 	}
 	ok := r.checkResponse(response, id)
@@ -148,7 +148,7 @@
 func (r *Run) callModel(client *http.Client, p *process, id string) {
 	response, body, err := r.sendDefault(client, p, emulator.ModelHost, id)
 	if response == nil {
-		r.count("no answer")
+		r.count("no response")
 		return
 	}
 	if !r.checkResponse(response, id) {
--- a/lab/soak/configuration.go
+++ b/lab/soak/configuration.go
@@ -33,16 +33,16 @@
 	return uint64(version), err
 }
 
-// ConfigureAfterOutage makes the store stop answering with calls in flight, writes a
-// configuration as soon as it answers again, and returns the time from then until every entry
-// instance uses it. A watch that was sent during the outage is never answered.
+// ConfigureAfterOutage makes the store stop responding with calls in flight, writes a
+// configuration as soon as it responds again, and returns the time from then until every entry
+// instance uses it. A watch that was sent during the outage never gets a response.
 func (r *Run) ConfigureAfterOutage(silence time.Duration) (time.Duration, error) {
 	r.injectStoreFault(silentStore, silence)
 	r.configure()
 	return r.waitConfigured()
 }
 
-// ConfigureAfterRestore restores the store from an older copy and, before it answers again,
+// ConfigureAfterRestore restores the store from an older copy and, before it responds again,
 // assigns the lost versions to other writes, including a new configuration. It returns the time
 // until every entry instance uses that. A watch from before the restore does not report it.
 func (r *Run) ConfigureAfterRestore(outage time.Duration) (time.Duration, error) {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -14,7 +14,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// silentStore makes the store never answer the calls that reach it during the fault.
+// silentStore makes the store never respond to the calls that reach it during the fault.
 var silentStore = memtable.Faults{Silent: true}
 
 // InjectFaults injects the run's faults, which overlap, waits until they have ended and removes
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -6,7 +6,7 @@
 //
 //   - Proxies delay, reset, cut or silence connections to the store and to endpoints.
 //   - Entry instances are paused, killed, terminated, reloaded and suspended.
-//   - The store rejects calls, stops answering, loses responses, applies writes late, discards
+//   - The store rejects calls, stops responding, loses responses, applies writes late, discards
 //     its history and is restored from an older copy.
 //   - Endpoints terminate, lose their rows, apply unanswered orders late, and crash and restart
 //     under their IDs, by themselves and because of repeated requests.
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -26,7 +26,7 @@
 	KindRepeatable RouteKind = iota
 	// KindOnce requests run at most once.
 	KindOnce
-	// KindStream requests are answered with events; they run at most once
+	// KindStream requests get a stream of events; they run at most once
 	// unless the route's streams are resumable.
 	KindStream
 )
