--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -15,13 +15,13 @@
 	tableName string
 	longPoll  time.Duration
 	interval  time.Duration
-	// apply applies rows; since is zero after a read of the whole table.
+	// apply applies rows; since is zero after a full read of the table.
 	apply func(rows []table.Row, since, version uint64)
 	// knownVersion returns a version up to which the table is known from peers, and skip reports
 	// whether the next call can be left out. Both may be nil.
 	knownVersion func() uint64
 	skip         func() bool
-	// version is zero until the table was read. needsFullRead is set while the whole table must be
+	// version is zero until the table was read. needsFullRead is set while the full table must be
 	// read because the store no longer has the history after the version.
 	version       uint64
 	needsFullRead bool
@@ -139,7 +139,7 @@
 // maxPageRows is the store's maximum number of rows per response.
 const maxPageRows = 500
 
-// step makes one call: a read of the whole table, or of its changes.
+// step makes one call: a full read of the table, or a read of its changes.
 func (f *follower) step(ctx context.Context) error {
 	f.rows = 0
 	f.skipped = f.skip != nil && f.skip()
@@ -147,7 +147,7 @@
 		return nil
 	}
 	if f.knownVersion != nil && !f.needsFullRead {
-		// Rows from peers make a read of the whole table unnecessary.
+		// Rows from peers make a full read of the table unnecessary.
 		f.version = max(f.version, f.knownVersion())
 	}
 	if table.VersionNumber(f.version) == 0 {
--- a/internal/directory/follower_test.go
+++ b/internal/directory/follower_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// slowReads is a store whose reads of a whole table take a fixed time.
+// slowReads is a store whose full reads take a fixed time.
 type slowReads struct {
 	*memtable.Table
 	duration time.Duration
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -34,7 +34,7 @@
 	ChangePause time.Duration
 	// CallTimeout bounds one call, beyond its long-poll timeout.
 	CallTimeout time.Duration
-	// ReadTimeout bounds a read of a whole table, which takes several calls that the store client
+	// ReadTimeout bounds a full read of a table, which takes several calls that the store client
 	// bounds individually. Reads are slow when all nodes start at once, and an aborted read
 	// restarts from the first page.
 	ReadTimeout time.Duration
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -42,7 +42,7 @@
 	maxRelayBytesPerSecond = 2 << 20
 	// DefaultFullRateNodes is the number of nodes up to which they call a relay at relayInterval.
 	DefaultFullRateNodes = 25
-	// unknownPeerInterval applies to a peer of which only the address is known.
+	// unknownPeerInterval applies to a peer whose id is still unknown.
 	unknownPeerInterval = 300 * time.Millisecond
 	// silenceTimeout is how long a relay waits for a node's call before it calls the node.
 	silenceTimeout = 2 * time.Second
@@ -53,7 +53,7 @@
 	// callsPerTick bounds the calls to nodes other than relays that start at once. Without it,
 	// all nodes call each other at the same moment when they lose their controller.
 	callsPerTick = 2
-	// knownNodesEvery is the number of messages to a peer of which one has known nodes.
+	// knownNodesEvery is the number of messages to a peer per message that lists known nodes.
 	knownNodesEvery = 20
 	// snapshotDelay is how long a peer may lack all endpoints before it is sent a snapshot; it
 	// most likely reads them from the store meanwhile.
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -42,7 +42,7 @@
 
 // Without a controller, nodes used to call all others, which saturated the links. They must only
 // call the standby relays of their data centre.
-func TestDuePeers_OnlyStandbyRelaysWithoutController(t *testing.T) {
+func TestDuePeers_StandbyRelaysWithoutController(t *testing.T) {
 	now := time.Now()
 	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -44,7 +44,7 @@
 }
 
 // countNodes estimates the number of nodes of all data centres; the caller holds the lock. A data
-// centre of which nothing was ever reported is assumed to have as many nodes as this one:
+// centre without any report is assumed to have as many nodes as this one:
 // otherwise data centres that are partitioned from the start would each use the whole slack of
 // the retry budget.
 func (g *Gossiper) countNodes(now time.Time) int {
--- a/internal/gossip/quarantinetable_test.go
+++ b/internal/gossip/quarantinetable_test.go
@@ -191,8 +191,8 @@
 	require.Equal(t, 2, again.blocked())
 }
 
-// Guards the size of a row.
-func TestQuarantineTable_BytesOfARow(t *testing.T) {
+// Guards against rows of more than 128 bytes with their key.
+func TestQuarantineTable_BoundsRowBytes(t *testing.T) {
 	row, err := json.Marshal(quarantineRow{Ends: []qlist.Incarnation{1 << 63, 1<<63 + 1, 1<<63 + 2}})
 	require.NoError(t, err)
 	rowBytes := len(row) + len(fingerprintOf(1).String())
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -294,7 +294,7 @@
 	g.rank, g.ranked = 0, true
 }
 
-// AnnounceStop tells the relay that this node is stopping.
+// AnnounceStop notifies the relay that this node is stopping.
 func (g *Gossiper) AnnounceStop(ctx context.Context) {
 	g.mu.Lock()
 	g.stopping = true
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -16,11 +16,11 @@
 	noRelayRankDelay = 50 * time.Millisecond
 	// maxExtraDelay bounds the wait: this may be the only node that can reach the store.
 	maxExtraDelay = 8 * time.Second
-	// rankTimeout is how long after its start a node waits to be told its rank before it
+	// rankTimeout is how long after its start a node waits for its rank from a relay before it
 	// watches the configuration.
 	rankTimeout = time.Second
 	// firstStartWait is how long nodes wait for their controller to send the tables when the
-	// whole system starts for the first time, so that not every node reads them in full.
+	// entire system starts for the first time, so that not every node reads them in full.
 	firstStartWait = 3 * time.Second
 	// configurationWatchers is the highest rank that watches the configuration even while it
 	// hears its relay, so that a crash of the relay delays no change.
--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -173,7 +173,7 @@
 	require.Equal(t, map[string]int{"large": 1, "small": 1}, last)
 }
 
-func TestController_ReplacesCrashedMemberWithoutLoad(t *testing.T) {
+func TestController_ReplacesMemberWithoutLoading(t *testing.T) {
 	for rank, name := range []string{"the head", "another member"} {
 		t.Run(name, func(t *testing.T) {
 			dc := newDataCentre(t, 9)
@@ -280,7 +280,7 @@
 	dc.requireUnbroken()
 }
 
-func TestController_ReplacesGroupWithDrainingMember(t *testing.T) {
+func TestController_ReplacesGroupOfDrainingMember(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
@@ -363,7 +363,7 @@
 
 // Guards against dissolving a group that serves although neither the controller nor the store
 // reaches a member. The group is dissolved once the head sends no events either.
-func TestController_KeepsUnreachableGroupWithEvents(t *testing.T) {
+func TestController_KeepsUnreachableServingGroup(t *testing.T) {
 	dc := newDataCentre(t, 9)
 	var silent atomic.Bool
 	dc.lastEvent = func(serving.EndpointID) time.Time {
@@ -416,7 +416,7 @@
 
 // Runs with delayed orders, crashed and isolated endpoints, crashed controllers and two
 // controllers at once. No incomplete group may open, and no endpoint may be in two groups.
-func TestController_KeepsInvariantsUnderRandomFaults(t *testing.T) {
+func TestController_InvariantsUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/groupcontrol/orders.go
+++ b/internal/groupcontrol/orders.go
@@ -20,7 +20,7 @@
 	c.observe(e, report)
 	c.recordState(e.ID, knownState{report.StartedAt, report.Orders, report.Membership})
 	if report.StartedAt != e.StartedAt {
-		// It restarted under the same id, so it is in none of its earlier groups.
+		// It restarted under the same id, so it is in no earlier group.
 		return report, ErrOtherIncarnation
 	}
 	return report, nil
--- a/internal/groupcontrol/plan.go
+++ b/internal/groupcontrol/plan.go
@@ -43,7 +43,7 @@
 	staging map[serving.EndpointID]string
 	// groups are the open groups without a fault.
 	groups []*group
-	// reserved domains keep their free endpoints for a model in favour of which groups were
+	// reserved domains keep their free endpoints for a model for which other groups were
 	// dissolved.
 	reserved map[string]string
 	// growing domains have had a new endpoint recently and may get more soon.
--- a/internal/groupcontrol/plan_test.go
+++ b/internal/groupcontrol/plan_test.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-func TestPlan(t *testing.T) {
+func TestPlan_FormationsAndTakeovers(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		situation  situation
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -112,7 +112,7 @@
 
 // Stop must not hang if it is called before the event loops first run. With one
 // processor the loops cannot run before it.
-func TestStop_RightAfterStartReturns(t *testing.T) {
+func TestStop_ReturnsRightAfterStart(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
 		address := freeAddress(t)
--- a/internal/inicheck/inicheck_test.go
+++ b/internal/inicheck/inicheck_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMistakes(t *testing.T) {
+func TestFile_ReportsMistakes(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"right", "[a]\nname = x\nwait = 1s", ""},
 		{"no INI", "[a\nname", `f.ini: []: given "unclosed section: [a\n", allowed: INI text: [section] lines and key = value lines`},
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestValues(t *testing.T) {
+func TestSection_ReadsValues(t *testing.T) {
 	f := Parse("f.ini", []byte("[a]\nn = 7\nr = 0.5\nb = yes\nl = x, y,,z\nw = two\naddr = 127.0.0.1:80\n[p one]\nk = 1\n[p two]\nk = 2"))
 	a := f.Section("a")
 	assert.Equal(t, 7, a.Int("n", 0, 1, 10))
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -78,7 +78,7 @@
 	assert.Equal(t, "abc", got)
 }
 
-func TestWrongKey(t *testing.T) {
+func TestServer_RejectsWrongKey(t *testing.T) {
 	s := listen(t)
 	c := NewClient([]byte("another key 0000"), link.New(nil))
 	defer c.Close()
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -17,7 +17,7 @@
 
 const (
 	// probeTimeout bounds the dial that distinguishes a crashed endpoint from one that only
-	// broke a response off; it covers the round trip to another data centre of the region.
+	// truncated a response; it covers the round trip to another data centre of the region.
 	probeTimeout = 300 * time.Millisecond
 	// probeInterval is the minimum time between two dials of an endpoint; one that resets many
 	// connections would otherwise be dialed for each.
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -23,7 +23,7 @@
 	// traffic is not steady.
 	slackFactor = 0.85
 	// probabilityFactor times a remaining credit below one retry is the probability that a
-	// retry is granted. With a factor of one the mean would equal the whole allowance, and
+	// retry is granted. With a factor of one the mean would equal the full allowance, and
 	// every other window would exceed it.
 	probabilityFactor = 0.8
 )
@@ -34,7 +34,7 @@
 //   - A request earns a fraction of a retry, at the node that received it and for a short time.
 //     Each fraction is spent at most once, however often nodes restart.
 //   - The slack is split between the nodes. A process spends none of it until it has run for a
-//     whole window, since its previous incarnation may have spent it all.
+//     full window, since its previous incarnation may have spent it all.
 //   - With many nodes, each has less than one retry at any time. That fraction is the basis of a
 //     random draw, and is spent whether or not the draw grants a retry.
 type Budget struct {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,7 +34,7 @@
 	assert.Equal(t, "127.0.0.1:0", s.Source().String())
 }
 
-func TestMistakes(t *testing.T) {
+func TestParse_ReportsMistakes(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"host name", "[listen]\ncallers = localhost:1", "[listen] callers: given \"localhost:1\", allowed: an IP address with a port"},
 		{"short key", "[keys]\npeers = abc", "[keys] peers: given \"(hidden)\", allowed: a secret of 16 characters or more"},
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -94,7 +94,8 @@
 	formerMembers map[memberKey]bool
 	// epochs maps each epoch to the group it was last assigned to.
 	epochs map[uint64]epochGroup
-	// orderDelay returns the delay after which an order is applied without a response; 0 handles it normally.
+	// orderDelay returns the delay after which an order takes effect without a response; 0 means
+	// that it is handled normally.
 	orderDelay     func() time.Duration
 	loads          int
 	joinLoads      int
--- a/pkg/configuration/configuration_test.go
+++ b/pkg/configuration/configuration_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestDiff(t *testing.T) {
+func TestDiff_ListsChangedFields(t *testing.T) {
 	left, err := Parse("a", []byte(validTemplate))
 	require.NoError(t, err)
 	right := *left
--- a/pkg/health/health_test.go
+++ b/pkg/health/health_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestPolicyNames(t *testing.T) {
+func TestParsePolicy_RoundTripsNames(t *testing.T) {
 	for _, name := range PolicyNames() {
 		p, err := ParsePolicy(name)
 		require.NoError(t, err)
--- a/pkg/serving/serving_test.go
+++ b/pkg/serving/serving_test.go
@@ -38,7 +38,7 @@
 	require.Equal(t, map[string]int{"a": 900, "b": 100}, counts)
 }
 
-func TestRouteRepeatable(t *testing.T) {
+func TestRoute_Repeatable(t *testing.T) {
 	require.True(t, (&Route{Kind: KindRepeatable}).Repeatable())
 	require.False(t, (&Route{Kind: KindOnce}).Repeatable())
 	require.False(t, (&Route{Kind: KindStream}).Repeatable())
