--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,3 @@
-# The door to everything that is done with this repository.
-
 GO ?= go
 PACKAGES = ./... ./lab/...
 SEED ?= 1
@@ -11,7 +9,7 @@
 help: ## list the targets
 	@grep -E '^[a-z-]+:.*##' Makefile
 
-run: ## run a small whole on loopback
+run: ## run a small development cluster on loopback
 	$(GO) run ./cmd/ridgehinged dev
 
 test: ## run all tests
@@ -31,10 +29,10 @@
 soak-processes: ## real processes under random faults: make soak-processes SEED=100 COUNT=50
 	SOAK_SEED=$(SEED) SOAK_COUNT=$(COUNT) $(GO) test -timeout 0 -count 1 -run TestSoak -v ./lab/soak
 
-generate: ## make the generated code anew; needs protoc and its Go plugins
+generate: ## regenerate code; needs protoc and its Go plugins
 	for p in quarantine peer share; do (cd internal/peers/$${p}pb && protoc -I . -I ../quarantinepb --go_out=. --go_opt=paths=source_relative --go-drpc_out=. --go-drpc_opt=paths=source_relative $$p.proto) || exit 1; done
 
-capacity: ## print the slopes behind docs/CAPACITY.md
+capacity: ## run the benchmarks behind docs/CAPACITY.md
 	$(GO) test -run xxx -bench 'Exchange|Publish|Plan|Poll|Wire' -benchtime 50x ./internal/control
 	$(GO) test -run xxx -bench Memory -benchtime 1x ./internal/control
 
@@ -43,10 +41,10 @@
 	$(GO) run ./lab/cmd/load streams
 	$(GO) run ./lab/cmd/load cpu
 
-steady: ## what control costs real entry instances at rest
+steady: ## control overhead of idle entry instances
 	$(GO) run ./lab/cmd/load steady -nodes 9 -endpoints 50
 	$(GO) run ./lab/cmd/load steady -nodes 18 -endpoints 450
 	$(GO) run ./lab/cmd/load steady -nodes 36 -endpoints 900
 
-experiments: ## measure single decisions on seeded traces
+experiments: ## evaluate individual policies on seeded traces
 	$(GO) run ./lab/cmd/experiments
