--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -10,8 +10,8 @@
 // WatchOptions are the intervals and timeouts of a Watcher.
 type WatchOptions struct {
 	// LongPoll is the long-poll timeout of a configuration watch. With CallTimeout it bounds how
-	// long a lost response goes undetected: after an outage the store never completes calls that were
-	// sent during it.
+	// long a lost response goes undetected: after an outage the store never completes
+	// calls that were sent during it.
 	LongPoll time.Duration
 	// EndpointPause is the time between two reads of the endpoint table, whose rows change all the
 	// time.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -17,8 +17,8 @@
 	return qlist.FingerprintOf([]byte(c.parsed.workspace.Name), []byte(c.in.Method), []byte(c.in.Path), c.in.Body)
 }
 
-// checkQuarantine reports whether the request may be sent to an endpoint; if not, it has
-// got an error response. It is called before each attempt, because the request may
+// checkQuarantine reports whether the request may be sent to an endpoint; if not, an error
+// response has been sent. It is called before each attempt, because the request may
 // have been quarantined since the last one.
 func (c *call) checkQuarantine(ctx context.Context) bool {
 	c.g.crashDetector.AwaitProbe(ctx, c.fingerprint, c.probeDone)
@@ -31,7 +31,7 @@
 }
 
 // beginAttempt registers the attempt with the quarantine. It reports whether the request
-// may be sent; if not, it has got an error response.
+// may be sent; if not, an error response has been sent.
 func (c *call) beginAttempt() bool {
 	if c.g.options.Quarantine.BeginAttempt(c.fingerprint, time.Now()) {
 		return true
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -296,7 +296,7 @@
 }
 
 // Nodes that are partitioned from the start must not split the retry budget's slack among only
-// the nodes that they hear.
+// the nodes that they can reach.
 func TestCountNodes_EstimatesUnheardDataCentres(t *testing.T) {
 	const window = 10 * time.Second
 	now := time.Now()
--- a/internal/gossip/quarantine.go
+++ b/internal/gossip/quarantine.go
@@ -20,7 +20,7 @@
 )
 
 // sendsTrials reports whether this node is the one that sends trial requests: the controller of
-// the first data centre by name, among those that hear each other.
+// the first data centre by name, among those that receive each other's messages.
 func (g *Gossiper) sendsTrials() bool {
 	if !g.controls() {
 		return false
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -11,11 +11,11 @@
 
 // One node of each data centre is its relay: it receives the loads of all others, sends each the
 // total of the rest, and exchanges totals with the relays of the other data centres. The relay is
-// the controller; while none is heard, the first two nodes by rank are relays, so that a crash of
-// the controller does not interrupt the exchange.
+// the controller; while no controller sends messages, the first two nodes by rank are relays, so
+// that a crash of the controller does not interrupt the exchange.
 
 const (
-	// standbyRelays is the number of relays while no controller is heard; the first one may
+	// standbyRelays is the number of relays without a live controller; the first one may
 	// have crashed as well.
 	standbyRelays = 2
 	// maxKnownNodes is the number of nodes of its own data centre that are sent to each node,
@@ -32,7 +32,7 @@
 // usable reports whether a peer's id is known and no call to it has failed since its last message.
 func (p *peer) usable() bool { return p.id != "" && !p.lastFailed.After(p.lastHeard) }
 
-// isLiveController reports whether a peer is a controller heard within loadTTL.
+// isLiveController reports whether a peer is a controller that sent a message within loadTTL.
 func (p *peer) isLiveController(now time.Time) bool {
 	return p.controls && p.usable() && now.Sub(p.lastHeard) < loadTTL
 }
@@ -106,8 +106,9 @@
 
 func (g *Gossiper) isSelf(p *peer) bool { return p.address == g.config.Address }
 
-// activeRelay returns the relay whose reports count for a data centre, among those heard within
-// loadTTL, or nil; the caller holds the lock. Controllers go first, then later epochs, then rank.
+// activeRelay returns the relay whose reports count for a data centre, among those that sent a
+// message within loadTTL, or nil; the caller holds the lock. Controllers are preferred, then later
+// epochs, then rank.
 func (g *Gossiper) activeRelay(dataCentre serving.DataCentre, now time.Time) *peer {
 	var found *peer
 	for _, p := range g.peers {
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -9,9 +9,9 @@
 
 const (
 	// rankDelay is the additional time per rank, beyond configurationWatchers, that a node
-	// waits for its relay's data before it reads the store itself. While the relay is heard
+	// waits for its relay's data before it reads the store itself. While the relay is alive
 	// but has no data, the store is most likely unavailable to all. noRelayRankDelay applies
-	// while no relay is heard.
+	// while no relay is alive.
 	rankDelay        = 250 * time.Millisecond
 	noRelayRankDelay = 50 * time.Millisecond
 	// maxExtraDelay bounds the wait: this may be the only node that can reach the store.
@@ -23,7 +23,7 @@
 	// entire system starts for the first time, so that not every node reads them in full.
 	firstStartWait = 3 * time.Second
 	// configurationWatchers is the highest rank that watches the configuration even while it
-	// hears its relay, so that a crash of the relay delays no change.
+	// receives its relay's messages, so that a crash of the relay delays no change.
 	configurationWatchers = 2
 	// maxStoreCallInterval is the longest usual time between a relay's calls to the store; a
 	// controller renews its lease more often.
@@ -87,7 +87,7 @@
 }
 
 // isFirstDataCentre reports whether no data centre before this one by name has a live controller
-// that this node hears; the caller holds the lock.
+// whose messages this node receives; the caller holds the lock.
 func (g *Gossiper) isFirstDataCentre(now time.Time) bool {
 	for _, dc := range g.dataCentres() {
 		if dc >= g.config.DataCentre {
--- a/internal/groupcontrol/staging.go
+++ b/internal/groupcontrol/staging.go
@@ -98,7 +98,7 @@
 		if missing <= 0 || missing > len(rest) {
 			continue
 		}
-		// Hosts that hold nothing go first.
+		// Hosts without an available model come first.
 		slices.SortStableFunc(rest, func(a, b *serving.Endpoint) int {
 			return cmp.Compare(len(s.availableModel(a)), len(s.availableModel(b)))
 		})
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -74,7 +74,7 @@
 type suspectedCrash struct {
 	fingerprints []qlist.Fingerprint
 	lastBroken   time.Time
-	// probing is set from the start of a dial until no other is to follow it, probeAgain if
+	// probing is set during a probe, also between its dials; probeAgain is set if
 	// a request was interrupted since the last dial started.
 	probing    bool
 	probeAgain bool
@@ -93,8 +93,8 @@
 	return &Detector{log: logging.For("quarantine"), quarantine: q, replaced: replaced, dial: dial, suspected: map[Incarnation]*suspectedCrash{}}
 }
 
-// ReportBroken records that a request sent at a time was interrupted at an incarnation. The returned
-// channel is closed once the crash probe completes; it is nil if none is in flight.
+// ReportBroken records that a request sent at a time was interrupted at an incarnation. The
+// returned channel is closed once the crash probe completes; it is nil if none is in flight.
 func (d *Detector) ReportBroken(f qlist.Fingerprint, inc Incarnation, sent, now time.Time) (probeDone <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/relay/buffered.go
+++ b/internal/relay/buffered.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// recordSuccess reports to the quarantine that the request does not crash endpoints, if the response has
-// explicit framing: one that ends with its connection looks complete even if the endpoint crashed.
+// recordSuccess reports to the quarantine that the request does not crash endpoints, if the
+// response has explicit framing: one that ends with its connection looks complete even if the endpoint crashed.
 func (c *call) recordSuccess(response *upstream.Response, now time.Time) {
 	if response.Marked {
 		c.options.Quarantine.RecordSuccess(c.fingerprint, now)
--- a/pkg/health/health.go
+++ b/pkg/health/health.go
@@ -1,7 +1,7 @@
 // Package health rates endpoints by the results of their requests, by their pace, and by how long
 // they have been silent.
 //
-// It is pure: times come in with each call. It returns failure rates and weights between 0 and 1,
+// It is pure: times are passed with each call. It returns failure rates and weights between 0 and 1,
 // slowdown factors and durations, and no errors. Counts are exponentially decayed.
 package health
 
