--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -15,20 +15,20 @@
 	tableName string
 	longPoll  time.Duration
 	interval  time.Duration
-	// apply applies rows; since is zero after a read of the whole table.
+	// apply applies rows; since is zero after a full read of the table.
 	apply func(rows []table.Row, since, version uint64)
 	// knownVersion returns a version up to which the table is known from peers, and skip reports
 	// whether the next call can be left out. Both may be nil.
 	knownVersion func() uint64
 	skip         func() bool
-	// version is zero until the table was read. needsFullRead is set while the whole table must be
+	// version is zero until the table was read. needsFullRead is set while the full table must be
 	// read because the store no longer has the history after the version.
 	version       uint64
 	needsFullRead bool
-	// down is set while the store does not answer; failures counts consecutive failed calls.
+	// down is set while the store does not respond; failures counts consecutive failed calls.
 	down     bool
 	failures int
-	// calledAt is when the last call started, answeredAt when one was last answered.
+	// calledAt is when the last call started, answeredAt when one last got a response.
 	calledAt   time.Time
 	answeredAt time.Time
 	// rows is the number of rows of the last call; skipped is set when it was left out.
@@ -99,7 +99,7 @@
 const maxDoublings = 16
 
 // recordResult tracks whether the store is reachable and logs transitions, with the duration of
-// the call and the time since the last answer: a long poll that is never answered shows nowhere
+// the call and the time since the last response: a long poll without a response shows nowhere
 // else.
 func (f *follower) recordResult(err error) {
 	if f.skipped {
@@ -128,7 +128,7 @@
 }
 
 // waitTime returns the long-poll timeout of the next call. It is zero while the store is down, so
-// that its first answer shows at once that it is back.
+// that its first response shows at once that it is back.
 func (f *follower) waitTime() time.Duration {
 	if f.down {
 		return 0
@@ -136,10 +136,10 @@
 	return f.longPoll
 }
 
-// maxPageRows is the store's maximum number of rows per answer.
+// maxPageRows is the store's maximum number of rows per response.
 const maxPageRows = 500
 
-// step makes one call: a read of the whole table, or of its changes.
+// step makes one call: a full read of the table, or a read of its changes.
 func (f *follower) step(ctx context.Context) error {
 	f.rows = 0
 	f.skipped = f.skip != nil && f.skip()
@@ -147,7 +147,7 @@
 		return nil
 	}
 	if f.knownVersion != nil && !f.needsFullRead {
-		// Rows from peers make a read of the whole table unnecessary.
+		// Rows from peers make a full read of the table unnecessary.
 		f.version = max(f.version, f.knownVersion())
 	}
 	if table.VersionNumber(f.version) == 0 {
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -10,8 +10,8 @@
 // WatchOptions are the intervals and timeouts of a Watcher.
 type WatchOptions struct {
 	// LongPoll is the long-poll timeout of a configuration watch. With CallTimeout it bounds how
-	// long a lost answer goes unnoticed: after an outage the store does not answer calls that were
-	// sent during it.
+	// long a lost response goes undetected: after an outage the store never completes
+	// calls that were sent during it.
 	LongPoll time.Duration
 	// EndpointPause is the time between two reads of the endpoint table, whose rows change all the
 	// time.
@@ -34,7 +34,7 @@
 	ChangePause time.Duration
 	// CallTimeout bounds one call, beyond its long-poll timeout.
 	CallTimeout time.Duration
-	// ReadTimeout bounds a read of a whole table, which takes several calls that the store client
+	// ReadTimeout bounds a full read of a table, which takes several calls that the store client
 	// bounds individually. Reads are slow when all nodes start at once, and an aborted read
 	// restarts from the first page.
 	ReadTimeout time.Duration
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -42,7 +42,7 @@
 
 // Without a controller, nodes used to call all others, which saturated the links. They must only
 // call the standby relays of their data centre.
-func TestDuePeers_OnlyStandbyRelaysWithoutController(t *testing.T) {
+func TestDuePeers_StandbyRelaysWithoutController(t *testing.T) {
 	now := time.Now()
 	s := newTestGossiper(now)
 	s.config.Incarnation = "n99"
@@ -296,7 +296,7 @@
 }
 
 // Nodes that are partitioned from the start must not split the retry budget's slack among only
-// the nodes that they hear.
+// the nodes that they can reach.
 func TestCountNodes_EstimatesUnheardDataCentres(t *testing.T) {
 	const window = 10 * time.Second
 	now := time.Now()
