--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -88,7 +88,7 @@
 		c.checkNext(stream.Next, attempt)
 		if c.emit(event.Content) != nil {
 			c.cancelAttempt(target, attempt)
-			c.outcome = OutcomeClientGone
+			c.outcome = OutcomeCallerGone
 			return attemptAnswered
 		}
 	}
@@ -112,7 +112,7 @@
 		c.cancelAttempt(target, attempt)
 	}
 	cause := context.Cause(ctx)
-	if errors.Is(cause, ErrClientGone) || errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
+	if errors.Is(cause, ErrCallerGone) || errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
 		c.failContextDone(ctx)
 		return attemptAnswered
 	}
@@ -325,7 +325,7 @@
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 && c.out.Write(buffer[:n]) != nil {
-			c.outcome = OutcomeClientGone
+			c.outcome = OutcomeCallerGone
 			c.out.Abort()
 			return attemptAnswered
 		}
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -104,7 +104,7 @@
 			c.out.Begin(int(event.GetStatus()), header)
 		}
 		if len(event.GetBody()) > 0 && c.out.Write(event.GetBody()) != nil {
-			c.outcome = OutcomeClientGone
+			c.outcome = OutcomeCallerGone
 			c.out.Abort()
 			return
 		}
@@ -155,7 +155,7 @@
 
 func (r *peerResponder) End() { _ = r.send(&peerpb.ForwardEvent{Done: true}) }
 
-func (r *peerResponder) Abort() { r.err = ErrClientGone }
+func (r *peerResponder) Abort() { r.err = ErrCallerGone }
 
 // ServeForwarded serves a request forwarded by an entry instance of another
 // data centre.
@@ -171,7 +171,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	stop := context.AfterFunc(stream.Context(), func() { cancel(ErrClientGone) })
+	stop := context.AfterFunc(stream.Context(), func() { cancel(ErrCallerGone) })
 	defer stop()
 	out := &peerResponder{stream: stream}
 	g.Serve(ctx, in, out)
--- a/internal/gateway/respond.go
+++ b/internal/gateway/respond.go
@@ -36,8 +36,8 @@
 	OutcomeUnknown Outcome = "unknown"
 	// OutcomeServed is for metrics: the caller has the complete response.
 	OutcomeServed Outcome = "served"
-	// OutcomeClientGone is for metrics: the client disconnected.
-	OutcomeClientGone Outcome = "gone"
+	// OutcomeCallerGone is for metrics: the caller disconnected.
+	OutcomeCallerGone Outcome = "gone"
 )
 
 // errorResponse is an error response to a caller.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -22,8 +22,8 @@
 
 // Causes of a request context's cancellation.
 var (
-	// ErrClientGone means that the client disconnected.
-	ErrClientGone = httpserver.ErrClientGone
+	// ErrCallerGone means that the caller disconnected.
+	ErrCallerGone = httpserver.ErrCallerGone
 	errDeadline   = errors.New("the deadline has passed")
 	errStalled    = errors.New("the group became incomplete or stalled during the response")
 )
@@ -58,7 +58,7 @@
 }
 
 // Serve runs one request and answers it. The context is cancelled with the
-// cause ErrClientGone when the caller disconnects.
+// cause ErrCallerGone when the caller disconnects.
 func (g *Gateway) Serve(ctx context.Context, in *Request, out Responder) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -152,8 +152,8 @@
 
 // failContextDone answers a request whose context is done.
 func (c *call) failContextDone(ctx context.Context) {
-	if errors.Is(context.Cause(ctx), ErrClientGone) {
-		c.outcome = OutcomeClientGone
+	if errors.Is(context.Cause(ctx), ErrCallerGone) {
+		c.outcome = OutcomeCallerGone
 		c.out.Abort()
 		return
 	}
@@ -189,7 +189,7 @@
 func (c *call) settleClaim() {
 	switch {
 	case c.grant == nil:
-	case c.outcome == OutcomeNotRun || c.outcome == OutcomeClientGone && !c.mayHaveRun:
+	case c.outcome == OutcomeNotRun || c.outcome == OutcomeCallerGone && !c.mayHaveRun:
 		c.g.options.Claims.Release(*c.grant)
 	case c.outcome == OutcomeServed || c.outcome == OutcomeRan:
 		c.g.options.Claims.MarkRan(*c.grant)
@@ -303,7 +303,7 @@
 	} else {
 		result = c.attemptPlain(ctx, target, attempt)
 	}
-	cancelled := errors.Is(context.Cause(ctx), ErrClientGone) || errors.Is(context.Cause(ctx), errDeadline)
+	cancelled := errors.Is(context.Cause(ctx), ErrCallerGone) || errors.Is(context.Cause(ctx), errDeadline)
 	c.g.recordFinished(target.Group, time.Since(c.attemptStarted), result == attemptAnswered || cancelled)
 	return result
 }
--- a/internal/httpserver/responder.go
+++ b/internal/httpserver/responder.go
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// ErrClientGone means that the client disconnected.
-var ErrClientGone = errors.New("client disconnected")
+// ErrCallerGone means that the caller disconnected.
+var ErrCallerGone = errors.New("client disconnected")
 
 // sweepInterval is how often open requests are checked for disconnected clients:
 // nbhttp does not report a disconnect while a handler runs.
@@ -69,7 +69,7 @@
 // Content-Length.
 func (r *Responder) Write(p []byte) error {
 	if r.Closed() {
-		return ErrClientGone
+		return ErrCallerGone
 	}
 	if _, err := r.w.Write(p); err != nil {
 		return err
@@ -110,7 +110,7 @@
 }
 
 // Begin starts to track a request. The context is cancelled with the cause
-// ErrClientGone when the client disconnects. The caller calls done when the
+// ErrCallerGone when the caller disconnects. Call done when the
 // request is finished.
 func (t *Tracker) Begin(w http.ResponseWriter) (ctx context.Context, r *Responder, done func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -145,7 +145,7 @@
 		t.mu.Lock()
 		for r := range t.open {
 			if r.Closed() {
-				r.cancel(ErrClientGone)
+				r.cancel(ErrCallerGone)
 			}
 		}
 		t.mu.Unlock()
--- a/internal/relay/buffered.go
+++ b/internal/relay/buffered.go
@@ -95,7 +95,7 @@
 	c.class.FirstToken.RecordDuration(time.Since(c.start))
 	c.beginResponse(a.status, a.header)
 	if c.out.Write(a.body) != nil {
-		c.outcome = outcomeClientGone
+		c.outcome = outcomeCallerGone
 	}
 	c.out.End()
 }
@@ -110,7 +110,7 @@
 	buffer := make([]byte, copyBufferSize)
 	for {
 		if len(part) > 0 && c.out.Write(part) != nil {
-			c.outcome = outcomeClientGone
+			c.outcome = outcomeCallerGone
 			c.out.Abort()
 			return resultDone
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -557,7 +557,7 @@
 	for len(e.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	cancel(httpserver.ErrClientGone)
+	cancel(httpserver.ErrCallerGone)
 	<-disconnected
 	<-done
 	require.True(t, out.aborted)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -26,7 +26,7 @@
 	outcomeFailed     outcome = "failed"
 	outcomeRejected   outcome = "refused"
 	outcomeIncomplete outcome = "broken"
-	outcomeClientGone outcome = "gone"
+	outcomeCallerGone outcome = "gone"
 	outcomeInvalid    outcome = "invalid"
 )
 
@@ -70,7 +70,7 @@
 }
 
 // Serve runs one request and responds to it. The context is cancelled with
-// httpserver.ErrClientGone as its cause when the client disconnects.
+// httpserver.ErrCallerGone as its cause when the caller disconnects.
 func (r *Relay) Serve(ctx context.Context, in *Request, out Responder) {
 	r.hasRequests.Store(true)
 	current := r.inFlight.Add(1)
@@ -310,8 +310,8 @@
 
 // handleContextDone finishes a request whose context is done.
 func (c *call) handleContextDone(ctx context.Context) {
-	if errors.Is(context.Cause(ctx), httpserver.ErrClientGone) {
-		c.outcome = outcomeClientGone
+	if errors.Is(context.Cause(ctx), httpserver.ErrCallerGone) {
+		c.outcome = outcomeCallerGone
 		c.out.Abort()
 		return
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -35,7 +35,7 @@
 			return resultIncomplete
 		}
 		if !c.relayEvent(t, e, response.Header, now) {
-			c.outcome = outcomeClientGone
+			c.outcome = outcomeCallerGone
 			c.out.Abort()
 			return resultDone
 		}
