--- a/internal/bytecount/bytecount.go
+++ b/internal/bytecount/bytecount.go
@@ -14,8 +14,8 @@
 	Written atomic.Int64
 }
 
-// Conn returns a connection that counts its bytes.
-func (c *Counter) Conn(conn net.Conn) net.Conn { return counted{conn, c} }
+// Wrap returns a connection that counts its bytes.
+func (c *Counter) Wrap(conn net.Conn) net.Conn { return counted{conn, c} }
 
 // DialContext returns the dialer's DialContext with the bytes of its connections
 // counted.
@@ -25,7 +25,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.Conn(conn), nil
+		return c.Wrap(conn), nil
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -96,9 +96,9 @@
 // request twice.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Reach opens a connection to an address and closes it. It fails if nothing listens
+// Probe opens a connection to an address and closes it. It fails if nothing listens
 // there or the address is unreachable.
-func (c *Client) Reach(ctx context.Context, address string) error {
+func (c *Client) Probe(ctx context.Context, address string) error {
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return oops.In("engine").Wrap(err)
@@ -195,8 +195,8 @@
 	Fence      fleet.Fence
 	ResumeFrom int
 	Priority   int
-	// Once marks a request that must not be retried.
-	Once bool
+	// NoRetry marks a request that must not be retried.
+	NoRetry bool
 }
 
 // Do sends the request and returns once the response's header was read. The
@@ -218,7 +218,7 @@
 	}
 	call.setHeaders(request.Header)
 	client := c.http
-	if call.Once {
+	if call.NoRetry {
 		client = c.singleUse
 	}
 	response, err := client.Do(request)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -53,14 +53,14 @@
 }
 
 // The transport retries a request with an Idempotency-Key and no body when a
-// reused connection breaks, which must not happen with Once. The calls without
-// Once show that the transport still does it.
-func TestDo_OnceIsNotRetried(t *testing.T) {
-	for _, once := range []bool{true, false} {
+// reused connection breaks, which must not happen with NoRetry. The calls without
+// NoRetry show that the transport still does it.
+func TestDo_HonoursNoRetry(t *testing.T) {
+	for _, noRetry := range []bool{true, false} {
 		address, received := startClosingServer(t)
 		client := New(nil)
 		defer client.Close()
-		call := Call{Method: http.MethodPost, Address: address, Path: "/pay", Attempt: "a-1", Once: once, Header: http.Header{"Idempotency-Key": {"k"}}}
+		call := Call{Method: http.MethodPost, Address: address, Path: "/pay", Attempt: "a-1", NoRetry: noRetry, Header: http.Header{"Idempotency-Key": {"k"}}}
 		sent := int64(0)
 		for range 4 {
 			response, err := client.Do(context.Background(), call)
@@ -69,10 +69,10 @@
 				_ = response.Body.Close()
 			}
 		}
-		if once {
+		if noRetry {
 			assert.Equal(t, sent, received.Load())
 		} else {
-			assert.Greater(t, received.Load(), sent, "the transport no longer retries; Once can be removed")
+			assert.Greater(t, received.Load(), sent, "the transport no longer retries; NoRetry can be removed")
 		}
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -95,7 +95,7 @@
 func Start(s *Settings, a Adapter) (*Entry, error) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
-	links := link.Bounds{Source: s.source(), Dial: link.DefaultDial, Silence: s.Silence}
+	links := link.Bounds{Source: s.source(), DialTimeout: link.DefaultDialTimeout, SilenceTimeout: s.Silence}
 	incarnation := s.Node + incarnationSeparator + xid.New().String()
 	e := &Entry{
 		settings:    s,
@@ -194,7 +194,7 @@
 
 // httpClient returns a client for control calls and store calls.
 func httpClient(links link.Bounds) *http.Client {
-	return &http.Client{Transport: link.Doubtful(&http.Transport{
+	return &http.Client{Transport: link.ResetOnError(&http.Transport{
 		DialContext:         links.Dialer().DialContext,
 		MaxIdleConnsPerHost: 8,
 		IdleConnTimeout:     idleTimeout,
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -118,7 +118,7 @@
 	timing := f.Section("timing")
 	const minDuration, maxDuration = 50 * time.Millisecond, time.Minute
 	s.StallAfter = timing.Duration("stall_after", 500*time.Millisecond, minDuration, maxDuration)
-	s.Silence = timing.Duration("silence", link.DefaultSilence, time.Second, maxDuration)
+	s.Silence = timing.Duration("silence", link.DefaultSilenceTimeout, time.Second, maxDuration)
 	s.LeaseTTL = timing.Duration("lease_ttl", 2*time.Second, 300*time.Millisecond, maxDuration)
 	s.StopNotice = timing.Duration("stop_notice", 3*time.Second, 0, maxDuration)
 	s.StopBound = timing.Duration("stop_bound", 7*time.Second, 0, time.Hour)
--- a/internal/entry/settings_test.go
+++ b/internal/entry/settings_test.go
@@ -58,7 +58,7 @@
 func TestParse_SilenceSetting(t *testing.T) {
 	s, err := Parse("entry.ini", []byte(minimal))
 	require.NoError(t, err)
-	require.Equal(t, link.DefaultSilence, s.Silence)
+	require.Equal(t, link.DefaultSilenceTimeout, s.Silence)
 	s, err = Parse("entry.ini", []byte(minimal+"[timing]\nsilence = 3s\n"))
 	require.NoError(t, err)
 	require.Equal(t, 3*time.Second, s.Silence)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -61,7 +61,7 @@
 		Fence:      fleet.Fence{Epoch: target.Epoch, Generation: target.Generation},
 		ResumeFrom: from,
 		Priority:   int(c.parsed.priority),
-		Once:       !c.parsed.repeatable,
+		NoRetry:    !c.parsed.repeatable,
 	})
 	if err != nil {
 		return c.attemptError(ctx, target, attempt, err)
@@ -300,7 +300,7 @@
 		Body:     c.in.Body,
 		Attempt:  attempt,
 		Priority: int(c.parsed.priority),
-		Once:     !c.parsed.repeatable,
+		NoRetry:  !c.parsed.repeatable,
 	})
 	if err != nil {
 		return c.attemptError(ctx, target, attempt, err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -89,7 +89,7 @@
 		classes:     map[classKey]*metrics.Class{},
 	}
 	g.snapshot.Store(&control.Snapshot{})
-	g.crashDetector = quarantine.NewDetector(options.Quarantine, g.replaced, options.Engine.Reach)
+	g.crashDetector = quarantine.NewDetector(options.Quarantine, g.replaced, options.Engine.Probe)
 	return g
 }
 
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -242,7 +242,7 @@
 		startedAt:       time.Now(),
 	}
 	g.quarantine = newQuarantineTable(quarantine.NewQuarantine(g.sendsTrials), p.Store)
-	g.throttle = throttle.NewTracker(throttle.Options{Ask: g.requestPermit, Nodes: g.nodeCount, OnDraining: p.Directory.Invalidate, Metrics: p.Metrics})
+	g.throttle = throttle.NewTracker(throttle.Options{RequestPermit: g.requestPermit, Nodes: g.nodeCount, OnDraining: p.Directory.Invalidate, Metrics: p.Metrics})
 	p.Directory.SetDraining(g.throttle.Draining)
 	p.Balancer.OnSuspect(g.callRelayNow)
 	p.Balancer.SetHold(g.throttle.Hold)
--- a/internal/httpserver/responder.go
+++ b/internal/httpserver/responder.go
@@ -110,7 +110,7 @@
 }
 
 // Begin starts to track a request. The context is cancelled with the cause
-// ErrCallerGone when the caller disconnects. Call done when the
+// ErrCallerGone when the caller disconnects. done must be called when the
 // request is finished.
 func (t *Tracker) Begin(w http.ResponseWriter) (ctx context.Context, r *Responder, done func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -3,7 +3,7 @@
 //
 // A network partition sends no reset, and an open connection may stay dead while new
 // ones work. A connection is closed by the kernel if sent data is not acknowledged, or
-// keep-alive probes are not answered, for Silence.
+// keep-alive probes are not answered, for SilenceTimeout.
 package link
 
 import (
@@ -16,34 +16,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// DefaultSilence is not longer than callers wait for the next event of a stream, and far
+// DefaultSilenceTimeout is not longer than callers wait for the next event of a stream, and far
 // longer than packets are delayed.
-const DefaultSilence = 2 * time.Second
+const DefaultSilenceTimeout = 2 * time.Second
 
-// DefaultDial is the default dial timeout.
-const DefaultDial = 700 * time.Millisecond
+// DefaultDialTimeout is the default dial timeout.
+const DefaultDialTimeout = 700 * time.Millisecond
 
 // Bounds are the timeouts of connections. The zero value has none; New returns the
 // defaults.
 type Bounds struct {
 	// Source is the local address of outgoing connections, or nil for any.
 	Source net.Addr
-	// Dial is the dial timeout.
-	Dial time.Duration
-	// Silence is how long sent data or keep-alive probes may stay unacknowledged.
-	Silence time.Duration
+	// DialTimeout is the dial timeout.
+	DialTimeout time.Duration
+	// SilenceTimeout is how long sent data or keep-alive probes may stay unacknowledged.
+	SilenceTimeout time.Duration
 }
 
 // New returns the default bounds with a local address for outgoing connections, or nil
 // for any.
 func New(source net.Addr) Bounds {
-	return Bounds{Source: source, Dial: DefaultDial, Silence: DefaultSilence}
+	return Bounds{Source: source, DialTimeout: DefaultDialTimeout, SilenceTimeout: DefaultSilenceTimeout}
 }
 
 // Dialer returns a dialer with the bounds.
 func (b Bounds) Dialer() *net.Dialer {
 	return &net.Dialer{
-		Timeout:         b.Dial,
+		Timeout:         b.DialTimeout,
 		LocalAddr:       b.Source,
 		KeepAliveConfig: b.keepAliveConfig(),
 		Control:         b.setUserTimeout,
@@ -56,30 +56,30 @@
 	return config.Listen(context.Background(), network, address)
 }
 
-// keepAliveConfig starts probes of an idle connection after half of Silence, so that a dead
-// one is closed after Silence. The kernel's unit is whole seconds.
+// keepAliveConfig starts probes of an idle connection after half of SilenceTimeout, so that a dead
+// one is closed after SilenceTimeout. The kernel's unit is whole seconds.
 func (b Bounds) keepAliveConfig() net.KeepAliveConfig {
-	if b.Silence <= 0 {
+	if b.SilenceTimeout <= 0 {
 		return net.KeepAliveConfig{}
 	}
-	idle := max(time.Second, (b.Silence / 2).Truncate(time.Second))
+	idle := max(time.Second, (b.SilenceTimeout / 2).Truncate(time.Second))
 	return net.KeepAliveConfig{
 		Enable:   true,
 		Idle:     idle,
 		Interval: time.Second,
-		Count:    max(1, int((b.Silence-idle)/time.Second)),
+		Count:    max(1, int((b.SilenceTimeout-idle)/time.Second)),
 	}
 }
 
 // setUserTimeout bounds how long sent data may stay unacknowledged: without it a write to an
 // unreachable peer blocks for minutes. Accepted sockets inherit it.
 func (b Bounds) setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	if b.Silence <= 0 {
+	if b.SilenceTimeout <= 0 {
 		return nil
 	}
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(b.Silence.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(b.SilenceTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -87,9 +87,9 @@
 	return failed
 }
 
-// Doubtful returns a transport that closes its idle connections after a failed call: if one
+// ResetOnError returns a transport that closes its idle connections after a failed call: if one
 // connection is dead, the other open ones most likely are too.
-func Doubtful(t *http.Transport) http.RoundTripper { return resetOnError{t} }
+func ResetOnError(t *http.Transport) http.RoundTripper { return resetOnError{t} }
 
 type resetOnError struct{ *http.Transport }
 
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -42,8 +42,8 @@
 			idle := tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)
 			interval := tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL)
 			count := tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPCNT)
-			require.LessOrEqual(t, time.Duration(idle+interval*count)*time.Second, DefaultSilence)
-			require.Equal(t, int(DefaultSilence.Milliseconds()), tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT))
+			require.LessOrEqual(t, time.Duration(idle+interval*count)*time.Second, DefaultSilenceTimeout)
+			require.Equal(t, int(DefaultSilenceTimeout.Milliseconds()), tcpOption(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT))
 		})
 	}
 }
@@ -54,7 +54,7 @@
 
 // After a call without a response the next one must use a new connection, not another idle
 // one that may be dead too.
-func TestDoubtful_DropsIdleConnectionsOnError(t *testing.T) {
+func TestResetOnError_DropsIdleConnectionsOnError(t *testing.T) {
 	var silent atomic.Bool
 	var opened atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +77,7 @@
 	}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
-	client := &http.Client{Transport: Doubtful(&http.Transport{DialContext: New(nil).Dialer().DialContext, MaxIdleConnsPerHost: 4})}
+	client := &http.Client{Transport: ResetOnError(&http.Transport{DialContext: New(nil).Dialer().DialContext, MaxIdleConnsPerHost: 4})}
 	call := func(old string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -128,7 +128,7 @@
 	if handshakeServer(conn, s.key) != nil {
 		return
 	}
-	_ = s.rpc.ServeOne(ctx, s.counts.Conn(conn))
+	_ = s.rpc.ServeOne(ctx, s.counts.Wrap(conn))
 }
 
 func (s *Server) track(conn net.Conn, open bool) {
@@ -183,7 +183,7 @@
 		_ = raw.Close()
 		return nil, wrapUnreachable(err)
 	}
-	return drpcconn.NewWithOptions(c.counts.Conn(raw), drpcconn.Options{Manager: managerOptions()}), nil
+	return drpcconn.NewWithOptions(c.counts.Wrap(raw), drpcconn.Options{Manager: managerOptions()}), nil
 }
 
 func wrapUnreachable(err error) error {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -60,7 +60,7 @@
 	dialer := link.New(options.Source).Dialer()
 	counts := &bytecount.Counter{}
 	transport := &http.Transport{DialContext: counts.DialContext(dialer), MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
-	return &Client{options: options, http: &http.Client{Transport: link.Doubtful(transport), Timeout: options.Timeout}, bytes: counts}
+	return &Client{options: options, http: &http.Client{Transport: link.ResetOnError(transport), Timeout: options.Timeout}, bytes: counts}
 }
 
 // Bytes returns the byte counter of the client's connections.
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -53,9 +53,9 @@
 			LastEvent: c.lastEvent,
 			Urgent:    c.attempts > 0,
 		}),
-		Body:  c.in.Body,
-		Fresh: c.attempts > 0 || !c.route.Repeatable() && c.options.Balancer.isFailing(t.Endpoint, now),
-		Gate:  func() error { return c.gate(t) },
+		Body:          c.in.Body,
+		NewConnection: c.attempts > 0 || !c.route.Repeatable() && c.options.Balancer.isFailing(t.Endpoint, now),
+		BeforeSend:    func() error { return c.checkBeforeSend(t) },
 	}, func(h http.Header) bool { return c.options.Wire.Verdict(h).ID == c.attrs.ID })
 	if errors.Is(err, upstream.ErrNotSent) {
 		return c.handleNotSent(ctx, t, err)
@@ -78,9 +78,10 @@
 
 const errQuarantined holdError = "request is quarantined"
 
-// gate is the last check before the first byte of a request is sent. The endpoint may have asked
-// for a cooldown or started draining while the request waited for a permit or a connection.
-func (c *call) gate(t target) error {
+// checkBeforeSend is the last check before the first byte of a request is sent. The endpoint may
+// have asked for a cooldown or started draining while the request waited for a permit or a
+// connection.
+func (c *call) checkBeforeSend(t target) error {
 	now := time.Now()
 	hold := c.options.Throttle.Hold(t.Endpoint, now)
 	if hold == throttle.HoldDraining || hold == throttle.HoldCooldown {
--- a/internal/relay/buffered.go
+++ b/internal/relay/buffered.go
@@ -40,7 +40,7 @@
 		c.logAttempt(t, "a broken answer", errors.Join(err, context.Cause(ctx)))
 		return c.finishIfDone(ctx, resultIncomplete)
 	}
-	answer := &bufferedResponse{response.Status, c.options.Wire.Answer(response.Header), body}
+	answer := &bufferedResponse{response.Status, c.options.Wire.CallerHeader(response.Header), body}
 	if len(body) == maxBuffered {
 		return c.relayUnbuffered(answer, response)
 	}
@@ -71,7 +71,7 @@
 // recordSuccess tells the quarantine that the request does not crash endpoints, if the response has
 // explicit framing: one that ends with its connection looks complete even if the endpoint crashed.
 func (c *call) recordSuccess(response *upstream.Response, now time.Time) {
-	if response.Marked {
+	if response.Delimited {
 		c.options.Quarantine.RecordSuccess(c.fingerprint, now)
 	}
 }
--- a/internal/relay/cooldown_test.go
+++ b/internal/relay/cooldown_test.go
@@ -62,7 +62,7 @@
 
 // An endpoint may ask for a cooldown or start draining while a request waits for a permit; the
 // request must then be served elsewhere.
-func TestGate_RechecksHoldAfterPermit(t *testing.T) {
+func TestBeforeSend_RechecksHoldAfterPermit(t *testing.T) {
 	for name, statement := range map[string]advisory.Statement{
 		"cooldown": {Cooldown: advisory.Advertised[time.Duration]{Value: time.Minute}},
 		"draining": drainingStatement,
@@ -71,7 +71,7 @@
 			a, b := newEndpoint(t, events(1, 2, endStream)), newEndpoint(t, events(1, 2, endStream))
 			fx := newFixture(t, nil, []*endpoint{a, b})
 			requested := 0
-			fx.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
+			fx.useThrottle(throttle.NewTracker(throttle.Options{RequestPermit: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
 				if requested++; requested == 1 {
 					fx.observe(e.ID, statement)
 				}
@@ -89,10 +89,10 @@
 
 // A retry that is held back before its first byte is no failure of the endpoint, and its charge is
 // refunded.
-func TestGate_RefundsTheRetryBudget(t *testing.T) {
+func TestBeforeSend_RefundsTheRetryBudget(t *testing.T) {
 	a, b := newEndpoint(t, events(1, 3, breakStream)), newEndpoint(t, events(4, 5, endStream))
 	fx := newFixture(t, nil, []*endpoint{a, b})
-	fx.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
+	fx.useThrottle(throttle.NewTracker(throttle.Options{RequestPermit: func(_ context.Context, e *serving.Endpoint, known advisory.RateLimit) (throttle.Permit, error) {
 		fx.coolDown(e.ID, time.Minute)
 		return throttle.Permit{Granted: true, Limit: known}, nil
 	}}))
@@ -111,7 +111,7 @@
 func TestCooldown_AcquiresNoPermit(t *testing.T) {
 	e := newEndpoint(t, events(1, 2, endStream))
 	fx := newFixture(t, []*endpoint{e}, []*endpoint{e})
-	fx.useThrottle(throttle.NewTracker(throttle.Options{Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
+	fx.useThrottle(throttle.NewTracker(throttle.Options{RequestPermit: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
 		t.Error("a permit was requested")
 		return throttle.Permit{Granted: true}, nil
 	}}))
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -15,7 +15,7 @@
 
 // denyPermits denies every request for a permit.
 func denyPermits(wait time.Duration) throttle.Options {
-	return throttle.Options{Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
+	return throttle.Options{RequestPermit: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
 		return throttle.Permit{Wait: wait}, nil
 	}}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -86,7 +86,7 @@
 		log:       logging.For("relay"),
 		classes:   map[classKey]*metrics.Class{},
 	}
-	r.crashes = quarantine.NewDetector(o.Quarantine, r.replaced, o.Upstream.Reach)
+	r.crashes = quarantine.NewDetector(o.Quarantine, r.replaced, o.Upstream.Probe)
 	return r
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -73,9 +73,9 @@
 
 func (testWire) Statement(int, http.Header) advisory.Statement { return advisory.Statement{} }
 
-func (testWire) Answer(h http.Header) http.Header { return h.Clone() }
+func (testWire) CallerHeader(h http.Header) http.Header { return h.Clone() }
 
-func (testWire) OwnAnswer(id string, after time.Duration) http.Header {
+func (testWire) LocalResponseHeader(id string, after time.Duration) http.Header {
 	h := http.Header{"Id": {id}}
 	if after > 0 {
 		h.Set("After", after.String())
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -384,7 +384,7 @@
 // respond sends a response of the relay's own.
 func (c *call) respond(status int, text string, retryAfter time.Duration) {
 	body := fmt.Appendf(nil, "{\"error\":%q}\n", text)
-	header := c.options.Wire.OwnAnswer(c.attrs.ID, retryAfter)
+	header := c.options.Wire.LocalResponseHeader(c.attrs.ID, retryAfter)
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	c.beginResponse(status, header)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -45,7 +45,7 @@
 // relayEvent relays one event; it returns false if the client has disconnected.
 func (c *call) relayEvent(t target, e event, header http.Header, now time.Time) bool {
 	if !c.responseStarted {
-		answer := c.options.Wire.Answer(header)
+		answer := c.options.Wire.CallerHeader(header)
 		delete(answer, "Content-Length")
 		c.class.FirstToken.RecordDuration(now.Sub(c.start))
 		if c.attempts == 1 {
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -48,7 +48,7 @@
 	}
 	askCtx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
-	permit, err := t.options.Ask(askCtx, e, knownLimit)
+	permit, err := t.options.RequestPermit(askCtx, e, knownLimit)
 	if err != nil && ctx.Err() != nil {
 		// The caller disconnected or its deadline passed; the allocator may be reachable.
 		return false
--- a/internal/throttle/tracker.go
+++ b/internal/throttle/tracker.go
@@ -26,9 +26,9 @@
 
 // Options of a Tracker.
 type Options struct {
-	// Ask requests a permit from the allocator of an endpoint. An error means that the
+	// RequestPermit requests a permit from the allocator of an endpoint. An error means that the
 	// allocator is unreachable. If nil, this node allocates all permits itself.
-	Ask func(ctx context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (Permit, error)
+	RequestPermit func(ctx context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (Permit, error)
 	// Nodes returns the number of nodes.
 	Nodes func() int
 	// OnDraining is called when an endpoint becomes known to be draining; it may be nil.
@@ -80,8 +80,8 @@
 	if t.options.OnDraining == nil {
 		t.options.OnDraining = func() {}
 	}
-	if t.options.Ask == nil {
-		t.options.Ask = func(_ context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (Permit, error) {
+	if t.options.RequestPermit == nil {
+		t.options.RequestPermit = func(_ context.Context, e *serving.Endpoint, knownLimit advisory.RateLimit) (Permit, error) {
 			return t.Allocate(e.Incarnation(), knownLimit, time.Now()), nil
 		}
 	}
--- a/internal/throttle/tracker_test.go
+++ b/internal/throttle/tracker_test.go
@@ -83,7 +83,7 @@
 func TestAcquire_FallsBackToLocalShare(t *testing.T) {
 	calls := 0
 	tracker := NewTracker(Options{
-		Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (Permit, error) {
+		RequestPermit: func(context.Context, *serving.Endpoint, advisory.RateLimit) (Permit, error) {
 			calls++
 			return Permit{}, errors.New("unreachable")
 		},
@@ -108,7 +108,7 @@
 }
 
 func TestAcquire_CancelDoesNotMarkAllocator(t *testing.T) {
-	tracker := NewTracker(Options{Ask: func(ctx context.Context, _ *serving.Endpoint, _ advisory.RateLimit) (Permit, error) {
+	tracker := NewTracker(Options{RequestPermit: func(ctx context.Context, _ *serving.Endpoint, _ advisory.RateLimit) (Permit, error) {
 		return Permit{Granted: true}, ctx.Err()
 	}})
 	tracker.SetLimit(endpoint.Incarnation(), 1, time.Now())
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -80,13 +80,13 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh requires a new connection. A failure on a dead reused connection
+	// NewConnection requires a new connection. A failure on a dead reused connection
 	// leaves open whether the request ran; a failed dial does not.
-	Fresh bool
-	// Gate, if set, is called once a connection is open, before the first byte is
+	NewConnection bool
+	// BeforeSend, if set, is called once a connection is open, before the first byte is
 	// written, since the endpoint may have become ineligible during the dial. Send
 	// returns its error wrapped in ErrNotSent.
-	Gate func() error
+	BeforeSend func() error
 }
 
 type conn struct {
@@ -204,9 +204,9 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// Reach opens a connection to an address and closes it. It fails if nothing
+// Probe opens a connection to an address and closes it. It fails if nothing
 // listens there or the address is unreachable.
-func (c *Client) Reach(ctx context.Context, address string) error {
+func (c *Client) Probe(ctx context.Context, address string) error {
 	k, err := c.dial(ctx, address)
 	if err != nil {
 		return err
@@ -220,7 +220,7 @@
 // closes the response.
 func (c *Client) Send(ctx context.Context, q Request, matches func(http.Header) bool) (*Response, error) {
 	k := (*conn)(nil)
-	if !q.Fresh {
+	if !q.NewConnection {
 		k = c.takeIdle(q.Address)
 	}
 	reused := k != nil
@@ -230,8 +230,8 @@
 			return nil, wrapError(ErrNotSent, err)
 		}
 	}
-	if q.Gate != nil {
-		if err := q.Gate(); err != nil {
+	if q.BeforeSend != nil {
+		if err := q.BeforeSend(); err != nil {
 			c.returnUnused(q.Address, k, reused)
 			return nil, wrapError(ErrNotSent, err)
 		}
@@ -252,17 +252,17 @@
 		return nil, wrapError(ErrUnknown, err)
 	}
 	return &Response{
-		Status:  response.StatusCode,
-		Header:  response.Header,
-		Length:  response.ContentLength,
-		Marked:  response.ContentLength >= 0 || len(response.TransferEncoding) > 0,
-		body:    response.Body,
-		close:   response.Close,
-		client:  c,
-		conn:    k,
-		addr:    q.Address,
-		stop:    stop,
-		written: written,
+		Status:    response.StatusCode,
+		Header:    response.Header,
+		Length:    response.ContentLength,
+		Delimited: response.ContentLength >= 0 || len(response.TransferEncoding) > 0,
+		body:      response.Body,
+		close:     response.Close,
+		client:    c,
+		conn:      k,
+		addr:      q.Address,
+		stop:      stop,
+		written:   written,
 	}, nil
 }
 
@@ -362,18 +362,18 @@
 	Header http.Header
 	// Length is the body's length, or -1 if unknown.
 	Length int64
-	// Marked is set if the body is delimited by a length or chunked encoding. A body
+	// Delimited is set if the body is delimited by a length or chunked encoding. A body
 	// that is delimited by the connection's close may be truncated unnoticed.
-	Marked   bool
-	body     io.ReadCloser
-	close    bool
-	client   *Client
-	conn     *conn
-	addr     string
-	stop     func() bool
-	written  <-chan struct{}
-	complete bool
-	closed   bool
+	Delimited bool
+	body      io.ReadCloser
+	close     bool
+	client    *Client
+	conn      *conn
+	addr      string
+	stop      func() bool
+	written   <-chan struct{}
+	complete  bool
+	closed    bool
 }
 
 // Read reads the body. It returns io.EOF at the end of a complete body and an
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// A request rejected by Gate must send no byte and leave its connection reusable.
-func TestGate_RejectedRequestsSendNothing(t *testing.T) {
+// A request rejected by BeforeSend must send no byte and leave its connection reusable.
+func TestBeforeSend_RejectedRequestsSendNothing(t *testing.T) {
 	arrived := make(chan string, 10)
 	address := scriptedServer(t, func(c net.Conn, r *http.Request, _ int) {
 		arrived <- r.Header.Get("Id")
@@ -227,7 +227,7 @@
 	errRejected := errors.New("rejected")
 	for _, id := range []string{"new connection", "reused connection"} {
 		_, err := client.Send(t.Context(), Request{Address: address, Method: http.MethodGet, URI: "/x", Host: "h",
-			Header: http.Header{"Id": {id}}, Gate: func() error { return errRejected }}, func(http.Header) bool { return true })
+			Header: http.Header{"Id": {id}}, BeforeSend: func() error { return errRejected }}, func(http.Header) bool { return true })
 		require.ErrorIs(t, err, ErrNotSent)
 		require.ErrorIs(t, err, errRejected)
 	}
