--- a/cmd/ridgehinge/explain.go
+++ b/cmd/ridgehinge/explain.go
@@ -34,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
-	selected := explain.Story(lines, f.Arg(0))
+	selected := explain.Select(lines, f.Arg(0))
 	explain.Print(os.Stdout, selected, f.Arg(0))
 	if len(selected) == 0 {
 		return subcommands.ExitFailure
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -167,7 +167,7 @@
 	if !l.store.Apply(delta) {
 		return
 	}
-	invariant.Check(l.store.Revision() > before, invariant.Forward, "configuration %d after %d", l.store.Revision(), before)
+	invariant.Check(l.store.Revision() > before, invariant.Monotonic, "configuration %d after %d", l.store.Revision(), before)
 	l.log.Info("configuration applied", "revision", uint64(delta.To), "source", source)
 }
 
@@ -188,7 +188,7 @@
 	if !l.groups.Apply(delta) {
 		return
 	}
-	invariant.Check(l.groups.Revision() > before, invariant.Forward, "groups %d after %d", l.groups.Revision(), before)
+	invariant.Check(l.groups.Revision() > before, invariant.Monotonic, "groups %d after %d", l.groups.Revision(), before)
 	if revision := l.groups.Revision(); revision > ledger.TombstoneRevisions {
 		l.groups.DropTombstones(revision - ledger.TombstoneRevisions)
 	}
--- a/internal/directory/configuration.go
+++ b/internal/directory/configuration.go
@@ -48,7 +48,7 @@
 	if d.configuration != nil && c.Version <= d.configuration.Version {
 		return
 	}
-	invariant.Check(d.configuration == nil || c.Version > d.configuration.Version, invariant.Forward, "configuration %d", c.Version)
+	invariant.Check(d.configuration == nil || c.Version > d.configuration.Version, invariant.Monotonic, "configuration %d", c.Version)
 	d.configuration = c
 	d.configurationRow = bytes.Clone(value)
 	d.log.Info("applied configuration", "version", c.Version, "source", source, "routes", len(c.Routes))
--- a/internal/entry/metered.go
+++ b/internal/entry/metered.go
@@ -34,7 +34,7 @@
 		table.ErrConflict:                "conflict",
 		table.ErrHistoryGone:             "history_gone",
 		groupcontrol.ErrFenced:           "fenced",
-		groupcontrol.ErrRefused:          "refused",
+		groupcontrol.ErrRejected:         "refused",
 		groupcontrol.ErrOtherIncarnation: "other_life",
 	} {
 		if errors.Is(err, known) {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -87,9 +87,9 @@
 // subjectKeys are the keys of the fields that identify a line's subjects.
 var subjectKeys = []string{"request", "endpoint", "group", "at_fault"}
 
-// Story returns, ordered by time, the lines about an id and those about the
+// Select returns, ordered by time, the lines about an id and those about the
 // endpoints and groups that they mention.
-func Story(lines []Line, id string) []Line {
+func Select(lines []Line, id string) []Line {
 	var own []Line
 	related := map[string]bool{}
 	for _, l := range lines {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -34,7 +34,7 @@
 		return nil, engine.ErrNotRun
 	}
 	invariant.Check(c.parsed.repeatable || !c.mayHaveRun, invariant.AtMostOnce, "request %s, attempt %s", c.id, call.Attempt)
-	invariant.Check(now.Before(target.Until), invariant.GroupWhole, "request %s on group %s", c.id, target.Group)
+	invariant.Check(now.Before(target.Until), invariant.GroupComplete, "request %s on group %s", c.id, target.Group)
 	invariant.Check(!target.Draining, invariant.NoNewWork, "request %s on group %s", c.id, target.Group)
 	c.attempts++
 	response, err := c.g.options.Engine.Do(ctx, call)
@@ -98,10 +98,10 @@
 // arguments are passed only on failure, to avoid an allocation per token.
 func (c *call) checkNext(next int, attempt string) {
 	if next == len(c.tokens)+1 {
-		invariant.Check(true, invariant.OwnAnswer, "")
+		invariant.Check(true, invariant.OwnResponse, "")
 		return
 	}
-	invariant.Check(false, invariant.OwnAnswer, "request %s, attempt %s: token %d after %d", c.id, attempt, next, len(c.tokens))
+	invariant.Check(false, invariant.OwnResponse, "request %s, attempt %s: token %d after %d", c.id, attempt, next, len(c.tokens))
 }
 
 // attemptError classifies a failed attempt and cancels it at the endpoint. A
@@ -184,7 +184,7 @@
 	if len(c.tokens) == 0 {
 		c.class.FirstToken.RecordDuration(now.Sub(c.start))
 	} else {
-		c.class.Between.RecordDuration(now.Sub(c.lastToken))
+		c.class.BetweenTokens.RecordDuration(now.Sub(c.lastToken))
 	}
 	c.lastToken = now
 	c.tokens = append(c.tokens, content)
--- a/internal/groupcontrol/groupcontrol.go
+++ b/internal/groupcontrol/groupcontrol.go
@@ -25,13 +25,13 @@
 
 // Errors of Endpoints.
 var (
-	// ErrNoAnswer means that the call may or may not have taken effect, or still may.
-	ErrNoAnswer = errors.New("the endpoint did not respond")
+	// ErrNoResponse means that the call may or may not have taken effect, or still may.
+	ErrNoResponse = errors.New("the endpoint did not respond")
 	// ErrOtherIncarnation means that another incarnation of the endpoint has its address.
 	ErrOtherIncarnation = errors.New("another incarnation of the endpoint responded")
-	// ErrRefused means that the order was rejected because it does not fit the endpoint's
+	// ErrRejected means that the order was rejected because it does not fit the endpoint's
 	// state.
-	ErrRefused = errors.New("the order does not fit the endpoint's state")
+	ErrRejected = errors.New("the order does not fit the endpoint's state")
 	// ErrFenced means that the endpoint has seen a later lease epoch.
 	ErrFenced = errors.New("the endpoint has seen a later fencing token than that of the order")
 )
--- a/internal/groupcontrol/operations.go
+++ b/internal/groupcontrol/operations.go
@@ -161,7 +161,7 @@
 	if joining.Err() != nil {
 		return context.Cause(joining)
 	}
-	invariant.Check(int(ready.Load()) == f.model.Size, invariant.GroupWhole, "group %s has %d members ready", name, ready.Load())
+	invariant.Check(int(ready.Load()) == f.model.Size, invariant.GroupComplete, "group %s has %d members ready", name, ready.Load())
 	head := f.members[0]
 	open := serving.Order{Kind: serving.OrderOpen, Group: name, Epoch: epoch, Fence: o.epoch}
 	if err := o.ensure(ctx, head, open, opened(name, epoch)); err != nil {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -13,14 +13,14 @@
 
 // The invariants.
 const (
-	// GroupWhole: a request is sent only to a complete group with recent evidence
+	// GroupComplete: a request is sent only to a complete group with recent evidence
 	// for each member.
-	GroupWhole Name = iota
+	GroupComplete Name = iota
 	// OneGroup: no instance is a member of two groups.
 	OneGroup
-	// OwnAnswer: an event is sent to a caller only if it belongs to the caller's
+	// OwnResponse: an event is sent to a caller only if it belongs to the caller's
 	// request and is the next one.
-	OwnAnswer
+	OwnResponse
 	// NotRun: no request is reported as not run if it may have run.
 	NotRun
 	// AtMostOnce: a request that must not be retried has at most one attempt that
@@ -28,8 +28,8 @@
 	AtMostOnce
 	// NoNewWork: no request is sent to a draining endpoint.
 	NoNewWork
-	// Forward: the revisions of configuration and groups never decrease.
-	Forward
+	// Monotonic: the revisions of configuration and groups never decrease.
+	Monotonic
 	invariantCount
 )
 
@@ -47,7 +47,7 @@
 	return all
 }
 
-// Atomics rather than a mutex: own_answer is checked for every token.
+// Atomics rather than a mutex: OwnResponse is checked for every token.
 var (
 	fatal      atomic.Bool
 	checks     [invariantCount]atomic.Uint64
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -108,22 +108,22 @@
 type Class struct {
 	scope tally.Scope
 	// Wait is the time in the admission queue, FirstToken and Total are the times
-	// since the request's arrival, Between is the time between two events.
-	Wait       tally.Histogram
-	FirstToken tally.Histogram
-	Between    tally.Histogram
-	Total      tally.Histogram
+	// since the request's arrival, BetweenTokens is the time between two events.
+	Wait          tally.Histogram
+	FirstToken    tally.Histogram
+	BetweenTokens tally.Histogram
+	Total         tally.Histogram
 }
 
 // Class returns the metrics of one workspace and class.
 func (m *Metrics) Class(workspace, class string) *Class {
 	scope := m.scope.Tagged(map[string]string{"workspace": workspace, "class": class})
 	return &Class{
-		scope:      scope,
-		Wait:       scope.Histogram("request_wait_seconds", latencyBuckets),
-		FirstToken: scope.Histogram("request_first_token_seconds", latencyBuckets),
-		Between:    scope.Histogram("request_between_tokens_seconds", latencyBuckets),
-		Total:      scope.Histogram("request_total_seconds", latencyBuckets),
+		scope:         scope,
+		Wait:          scope.Histogram("request_wait_seconds", latencyBuckets),
+		FirstToken:    scope.Histogram("request_first_token_seconds", latencyBuckets),
+		BetweenTokens: scope.Histogram("request_between_tokens_seconds", latencyBuckets),
+		Total:         scope.Histogram("request_total_seconds", latencyBuckets),
 	}
 }
 
--- a/internal/relay/explain_test.go
+++ b/internal/relay/explain_test.go
@@ -47,13 +47,13 @@
 			newFixture(t, test.plain, test.heads).serve(request(test.host))
 			lines, err := explain.Read("node", &out.text)
 			require.NoError(t, err)
-			story := explain.Story(lines, "r1")
-			cause := explain.Cause(story, "r1")
+			selected := explain.Select(lines, "r1")
+			cause := explain.Cause(selected, "r1")
 			for _, want := range test.want {
 				require.Contains(t, cause, want)
 			}
 			var printed bytes.Buffer
-			explain.Print(&printed, story, "r1")
+			explain.Print(&printed, selected, "r1")
 			require.Contains(t, printed.String(), "cause: "+cause)
 		})
 	}
@@ -71,9 +71,9 @@
 	lines, err := explain.Read("file", bytes.NewBufferString(text))
 	require.NoError(t, err)
 	require.Len(t, lines, 6)
-	story := explain.Story(lines, "r1")
+	selected := explain.Select(lines, "r1")
 	var texts []string
-	for _, l := range story {
+	for _, l := range selected {
 		texts = append(texts, l.Source+" "+l.Text)
 	}
 	require.Equal(t, []string{
@@ -82,6 +82,6 @@
 		"2.5 edge-1 an attempt failed",
 		"file a request was not served",
 	}, texts)
-	require.Equal(t, "failed: retry budget used up; no answer at i-1 (the request may have run)", explain.Cause(story, "r1"))
-	require.Nil(t, explain.Story(lines, "r3"))
+	require.Equal(t, "failed: retry budget used up; no answer at i-1 (the request may have run)", explain.Cause(selected, "r1"))
+	require.Nil(t, explain.Select(lines, "r3"))
 }
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -356,7 +356,7 @@
 	if e == nil || e.unreachable {
 		f.mu.Unlock()
 		<-ctx.Done()
-		return serving.Report{}, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
+		return serving.Report{}, errors.Join(groupcontrol.ErrNoResponse, ctx.Err())
 	}
 	defer f.mu.Unlock()
 	f.reports++
@@ -378,7 +378,7 @@
 	if e == nil || e.unreachable {
 		f.mu.Unlock()
 		<-ctx.Done()
-		return false, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
+		return false, errors.Join(groupcontrol.ErrNoResponse, ctx.Err())
 	}
 	if delay > 0 {
 		f.mu.Unlock()
@@ -388,7 +388,7 @@
 			_, _ = f.handleOrder(e, o)
 		})
 		<-ctx.Done()
-		return false, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
+		return false, errors.Join(groupcontrol.ErrNoResponse, ctx.Err())
 	}
 	defer f.mu.Unlock()
 	done, err := f.handleOrder(e, o)
@@ -405,7 +405,7 @@
 		return false, groupcontrol.ErrFenced
 	}
 	if o.Expected != e.orders {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	e.fence = o.Fence
 	switch o.Kind {
@@ -418,7 +418,7 @@
 	case serving.OrderStage:
 		return f.stage(e, o)
 	}
-	return false, groupcontrol.ErrRefused
+	return false, groupcontrol.ErrRejected
 }
 
 func (f *Fleet) join(e *Endpoint, o serving.Order) (bool, error) {
@@ -496,13 +496,13 @@
 
 func (f *Fleet) open(e *Endpoint, o serving.Order) (bool, error) {
 	if e.group.Group != o.Group || e.group.Epoch != o.Epoch || e.group.Rank != 0 {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	if e.group.State == serving.MemberOpen {
 		return true, nil
 	}
 	if e.group.State != serving.MemberReady {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	for _, id := range e.group.members {
 		if !f.everReady[memberKey{o.Group, o.Epoch, id}] {
@@ -527,7 +527,7 @@
 
 func (f *Fleet) leave(e *Endpoint, o serving.Order) (bool, error) {
 	if e.group.Group != o.Group || e.group.Epoch != o.Epoch {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	e.orders++
 	f.recordLeave(e)
