--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -91,7 +91,7 @@
 func (l *Loop) buildMessage(now time.Time, to membership.NodeID, configurationRevision, groupsRevision uint64) *peers.Message {
 	l.tracker.Expire(now)
 	heartbeat := l.tracker.NextHeartbeat(now, to, membership.LocalState{
-		Leaving:               l.stopping,
+		Stopping:              l.stopping,
 		ConfigurationRevision: uint64(l.store.Revision()),
 		GroupsRevision:        l.groups.Revision(),
 		Demand:                l.localDemand(),
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -31,15 +31,16 @@
 type Head struct {
 	*serving.Endpoint
 	Model serving.Model
-	// Engine has the timings of one group at pace 1.
+	// Engine has the timings of one group at TimeFactor 1.
 	Engine  *serving.Engine
 	Members []serving.EndpointID
 	// Incomplete is set when a member is missing, Degraded when one is draining: requests in
 	// flight continue, and new ones prefer other groups.
 	Incomplete bool
 	Degraded   bool
-	// Pace multiplies the engine's timings: the model's pace, higher if the group spans domains.
-	Pace float64
+	// TimeFactor multiplies the engine's timings: the model's factor, higher if the group spans
+	// domains.
+	TimeFactor float64
 }
 
 // buildView indexes the endpoints for routing.
@@ -102,12 +103,12 @@
 	if !ok {
 		return nil
 	}
-	head := &Head{Endpoint: e, Model: model, Engine: engine, Pace: model.Pace}
+	head := &Head{Endpoint: e, Model: model, Engine: engine, TimeFactor: model.TimeFactor}
 	for _, m := range members {
 		head.Members = append(head.Members, m.ID)
 		head.Degraded = head.Degraded || m.Draining
 		if m.Domain != e.Domain {
-			head.Pace = model.Pace * engine.FarFactor
+			head.TimeFactor = model.TimeFactor * engine.CrossDomainFactor
 		}
 	}
 	head.Incomplete = len(members) < model.Size
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -117,7 +117,7 @@
 		c.failContextDone(ctx)
 		return
 	}
-	if d.Outcome == admission.OutcomeRefused {
+	if d.Outcome == admission.OutcomeRejected {
 		c.reject(ctx, d)
 		return
 	}
--- a/internal/groupcontrol/controller.go
+++ b/internal/groupcontrol/controller.go
@@ -248,10 +248,10 @@
 // maxConcurrentLoads returns this data centre's share of the concurrent loads; further loads
 // would slow all of them down.
 func (c *Controller) maxConcurrentLoads(engine *serving.Engine) int {
-	if engine.LoadsAtOnce <= 0 || c.options.Unpaced() {
+	if engine.MaxConcurrentLoads <= 0 || c.options.Unpaced() {
 		return math.MaxInt
 	}
-	return max(1, engine.LoadsAtOnce/c.options.DataCentres)
+	return max(1, engine.MaxConcurrentLoads/c.options.DataCentres)
 }
 
 func (c *Controller) isBusy(id serving.EndpointID) bool { return c.busy[id] != nil }
--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -28,8 +28,8 @@
 const timeout = 60 * time.Second
 
 var models = []serving.Model{
-	{Name: "large", Size: 4, Fraction: 0.57, Pace: 1, LoadTime: 500 * time.Millisecond, WarmTime: 230 * time.Millisecond},
-	{Name: "small", Size: 3, Fraction: 0.43, Pace: 0.6, LoadTime: 400 * time.Millisecond, WarmTime: 210 * time.Millisecond},
+	{Name: "large", Size: 4, Fraction: 0.57, TimeFactor: 1, LoadTime: 500 * time.Millisecond, WarmTime: 230 * time.Millisecond},
+	{Name: "small", Size: 3, Fraction: 0.43, TimeFactor: 0.6, LoadTime: 400 * time.Millisecond, WarmTime: 210 * time.Millisecond},
 }
 
 // leaseTTL is the lease TTL of the controllers.
--- a/internal/groupcontrol/plan.go
+++ b/internal/groupcontrol/plan.go
@@ -198,7 +198,7 @@
 			warm = warm[model.Size:]
 			out = append(out, formation{s.service, model, members})
 			free.remove(members)
-			s.count(members[0].Domain, model.Name, float64(model.Size)/max(1, s.engine.FarFactor))
+			s.count(members[0].Domain, model.Name, float64(model.Size)/max(1, s.engine.CrossDomainFactor))
 		}
 	}
 	return out
@@ -207,7 +207,7 @@
 // staysNeediest reports whether a model would remain the neediest even with one more group
 // across domains. Otherwise the members are more useful as spares.
 func (s *situation) staysNeediest(model serving.Model) bool {
-	extended := s.coverageWith(model, float64(model.Size)/max(1, s.engine.FarFactor))
+	extended := s.coverageWith(model, float64(model.Size)/max(1, s.engine.CrossDomainFactor))
 	for _, other := range s.engine.Models {
 		if other.Name != model.Name && s.coverage(other) < extended {
 			return false
--- a/internal/groupcontrol/plan_test.go
+++ b/internal/groupcontrol/plan_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	large = serving.Model{Name: "large", Size: 16, Fraction: 0.5, Pace: 1, LoadTime: 16 * time.Second, WarmTime: 1600 * time.Millisecond}
-	small = serving.Model{Name: "small", Size: 4, Fraction: 0.5, Pace: 0.6, LoadTime: 12 * time.Second, WarmTime: 1100 * time.Millisecond}
+	large = serving.Model{Name: "large", Size: 16, Fraction: 0.5, TimeFactor: 1, LoadTime: 16 * time.Second, WarmTime: 1600 * time.Millisecond}
+	small = serving.Model{Name: "small", Size: 4, Fraction: 0.5, TimeFactor: 0.6, LoadTime: 12 * time.Second, WarmTime: 1100 * time.Millisecond}
 )
 
 // rack describes a domain whose endpoints can all start both models.
@@ -25,7 +25,7 @@
 func newSituation(racks ...rack) situation {
 	s := situation{
 		service: "llm",
-		engine:  &serving.Engine{Models: []serving.Model{large, small}, FarFactor: 2.5},
+		engine:  &serving.Engine{Models: []serving.Model{large, small}, CrossDomainFactor: 2.5},
 		inUse:   map[string]map[string]float64{},
 		staging: map[serving.EndpointID]string{},
 		growing: map[string]bool{},
--- a/internal/groupcontrol/takeover.go
+++ b/internal/groupcontrol/takeover.go
@@ -164,7 +164,7 @@
 func (s *situation) memberWeight(g *group) float64 {
 	memberWeight := s.usableFraction(g)
 	if g.spansDomains() {
-		memberWeight /= max(1, s.engine.FarFactor)
+		memberWeight /= max(1, s.engine.CrossDomainFactor)
 	}
 	return memberWeight
 }
--- a/internal/peers/convert.go
+++ b/internal/peers/convert.go
@@ -62,7 +62,7 @@
 		Since:                 b.Since,
 		Seq:                   b.Seq,
 		Ack:                   b.Ack,
-		Leaving:               b.Leaving,
+		Leaving:               b.Stopping,
 		ConfigurationRevision: b.ConfigurationRevision,
 		GroupsRevision:        b.GroupsRevision,
 	}
@@ -93,7 +93,7 @@
 		Since:                 m.GetSince(),
 		Seq:                   m.GetSeq(),
 		Ack:                   m.GetAck(),
-		Leaving:               m.GetLeaving(),
+		Stopping:              m.GetLeaving(),
 		ConfigurationRevision: m.GetConfigurationRevision(),
 		GroupsRevision:        m.GetGroupsRevision(),
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -48,7 +48,7 @@
 	heartbeat := membership.Heartbeat{
 		From:        membership.Node{ID: "n", DataCentre: "dc", Address: "a"},
 		Incarnation: 7, Stamp: time.Second, Echo: 2, EchoFor: 3, OldestAge: 4, Since: 5, Seq: 6, Ack: 8,
-		Leaving: true, ConfigurationRevision: 10, GroupsRevision: 11,
+		Stopping: true, ConfigurationRevision: 10, GroupsRevision: 11,
 		Reports: []fleet.Report{{Instance: "i", Incarnation: 1, Version: 2, Phase: fleet.PhaseReady, Group: "g", Generation: 3, Draining: true, Weights: "w", Slots: 4, Load: 5}},
 		Demand:  map[string]float64{"p": 1.5},
 		Known:   []membership.Node{{ID: "m"}},
--- a/internal/relay/balancer_test.go
+++ b/internal/relay/balancer_test.go
@@ -20,7 +20,7 @@
 	var heads []*directory.Head
 	loads := map[serving.EndpointID]PeerLoad{}
 	for i := range groups {
-		h := &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: "north", Slots: 30}, Engine: engine, Pace: 1}
+		h := &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: "north", Slots: 30}, Engine: engine, TimeFactor: 1}
 		heads = append(heads, h)
 		loads[h.ID] = PeerLoad{Running: 8, Unread: 1000}
 	}
@@ -48,7 +48,7 @@
 // A request that every group would start far too late is rejected immediately; a retry is not.
 func TestChooseHead_RejectsLateRequests(t *testing.T) {
 	engine := &serving.Engine{Slots: 30, StepTime: 6 * time.Millisecond, StepsPerPass: 7, TokensPerSec: 50_000, Chunk: 2048}
-	head := &directory.Head{Endpoint: &serving.Endpoint{ID: "h", DataCentre: "north", Slots: 30}, Engine: engine, Pace: 1}
+	head := &directory.Head{Endpoint: &serving.Endpoint{ID: "h", DataCentre: "north", Slots: 30}, Engine: engine, TimeFactor: 1}
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	size := RequestSize{Prompt: 1400, Objective: 300 * time.Millisecond}
 	b.SetPeerLoads(map[serving.EndpointID]PeerLoad{"h": {Running: 5, Unread: 8_000}})
@@ -65,7 +65,7 @@
 func TestPeerReports_AvoidsSuspects(t *testing.T) {
 	engine := &serving.Engine{Slots: 30, StepTime: 6 * time.Millisecond, StepsPerPass: 7, TokensPerSec: 50_000, Chunk: 2048}
 	head := func(id string, dc serving.DataCentre) *directory.Head {
-		return &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(id), DataCentre: dc, Slots: 30}, Engine: engine, Pace: 1}
+		return &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(id), DataCentre: dc, Slots: 30}, Engine: engine, TimeFactor: 1}
 	}
 	healthy, silent, remote := head("healthy", "north"), head("silent", "north"), head("remote", "south")
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
@@ -91,7 +91,7 @@
 		var heads []*directory.Head
 		for i := range 6 * dataCentres {
 			dc := serving.DataCentre(fmt.Sprint(i % dataCentres))
-			heads = append(heads, &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Slots: 30}, Engine: engine, Pace: 1})
+			heads = append(heads, &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Slots: 30}, Engine: engine, TimeFactor: 1})
 		}
 		b := NewBalancer("0", rand.NewPCG(1, 1), DefaultWeights)
 		remote := 0
@@ -117,7 +117,7 @@
 		if i == 0 {
 			dc = "north"
 		}
-		heads = append(heads, &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Slots: 30}, Engine: engine, Pace: 1})
+		heads = append(heads, &directory.Head{Endpoint: &serving.Endpoint{ID: serving.EndpointID(fmt.Sprint(i)), DataCentre: dc, Slots: 30}, Engine: engine, TimeFactor: 1})
 	}
 	b := NewBalancer("north", rand.NewPCG(1, 1), DefaultWeights)
 	now := time.Now()
@@ -159,7 +159,7 @@
 func newHead(id string, epoch uint64) *directory.Head {
 	engine := &serving.Engine{Slots: 30, StepTime: 6 * time.Millisecond, StepsPerPass: 7, TokensPerSec: 50_000, Chunk: 2048}
 	e := &serving.Endpoint{ID: serving.EndpointID(id), DataCentre: "north", Slots: 30, Membership: serving.Membership{Group: "g" + id, Epoch: epoch}}
-	return &directory.Head{Endpoint: e, Engine: engine, Pace: 1}
+	return &directory.Head{Endpoint: e, Engine: engine, TimeFactor: 1}
 }
 
 // firstHeadShare returns the part of the choices that fall on the first head.
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -131,5 +131,5 @@
 		passes := float64(s.Prompt) / float64(engine.Chunk)
 		writing = max(writing, passes*float64(engine.StepsPerPass)*slots*token)
 	}
-	return time.Duration(model.Pace * (reading + writing) * float64(time.Second))
+	return time.Duration(model.TimeFactor * (reading + writing) * float64(time.Second))
 }
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -32,7 +32,7 @@
 
 func TestEstimateWork(t *testing.T) {
 	engine := &serving.Engine{Slots: 10, StepTime: 10 * time.Millisecond, PerSequence: time.Millisecond, TokensPerSec: 10_000}
-	model := serving.Model{Pace: 0.5}
+	model := serving.Model{TimeFactor: 0.5}
 	// 100 ms for the prompt, and 100 tokens of 2 ms each, at twice the speed.
 	require.Equal(t, 150*time.Millisecond, estimateWork(engine, model, RequestSize{Prompt: 1000, Output: 100}).Round(time.Microsecond))
 }
@@ -41,7 +41,7 @@
 // chunk.
 func TestEstimateWork_LongPrompt(t *testing.T) {
 	engine := &serving.Engine{Slots: 10, StepTime: 10 * time.Millisecond, PerSequence: time.Millisecond, TokensPerSec: 10_000, Chunk: 500, StepsPerPass: 5}
-	model := serving.Model{Pace: 1}
+	model := serving.Model{TimeFactor: 1}
 	// 100 ms for the prompt, and two passes of five steps of 20 ms.
 	require.Equal(t, 300*time.Millisecond, estimateWork(engine, model, RequestSize{Prompt: 1000, Output: 1}).Round(time.Microsecond))
 	// 100 tokens take 200 ms of a full batch, as much as the two passes.
--- a/internal/relay/predict.go
+++ b/internal/relay/predict.go
@@ -45,7 +45,7 @@
 
 // passTime returns the time between two events of a stream at a head that processes no prompts.
 func passTime(h *directory.Head, l *load) time.Duration {
-	return time.Duration(float64(passStepTime(h.Engine, l)) * h.Pace)
+	return time.Duration(float64(passStepTime(h.Engine, l)) * h.TimeFactor)
 }
 
 // predict applies the engine's speed to the current load of a head.
@@ -65,8 +65,8 @@
 	first := steps/2 + reading(unread+s.Prompt) + time.Duration(passes)*steps
 	gap := steps + reading(min(chunk, unread+s.Prompt))
 	return Prediction{
-		First:   time.Duration(float64(first) * h.Pace),
-		Gap:     time.Duration(float64(gap) * h.Pace),
+		First:   time.Duration(float64(first) * h.TimeFactor),
+		Gap:     time.Duration(float64(gap) * h.TimeFactor),
 		Running: running,
 		Unread:  unread,
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -235,7 +235,7 @@
 	}
 	pool := directory.Pool{Service: "llm", Model: "m"}
 	for i, e := range heads {
-		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, Pace: 1})
+		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, TimeFactor: 1})
 	}
 	m := metrics.New("n", "north")
 	t.Cleanup(m.Close)
@@ -624,7 +624,7 @@
 // Rejected requests count towards demand.
 func TestDemand_CountsRejectedRequests(t *testing.T) {
 	fx := newFixture(t, nil, nil)
-	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, Pace: 1}}
+	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, TimeFactor: 1}}
 	in := request(hostStream)
 	in.Header.Set("Prompt", "100000")
 	require.Equal(t, http.StatusServiceUnavailable, fx.serve(in).status)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -185,7 +185,7 @@
 	o.LostGrace = p.Duration("lost_grace", o.LostGrace, 0, maximum)
 	o.WarmGrace = p.Duration("warm_grace", o.WarmGrace, 0, maximum)
 	o.RestartGrace = p.Duration("restart_grace", o.RestartGrace, 0, maximum)
-	o.Settle = p.Duration("settle", o.Settle, 0, maximum)
+	o.SettleTime = p.Duration("settle", o.SettleTime, 0, maximum)
 	o.ShrinkAfter = p.Duration("shrink_after", o.ShrinkAfter, 0, maximum)
 	o.LoadBudget = p.Int("load_budget", o.LoadBudget, 1, 100_000)
 	o.LoadTime = p.Duration("load_time", o.LoadTime, 0, maximum)
--- a/internal/throttle/cooldown_test.go
+++ b/internal/throttle/cooldown_test.go
@@ -73,9 +73,9 @@
 	now := time.Now()
 	tracker.SetLimit(endpoint.Incarnation(), 2, now)
 	tracker.Observe(advisory.Observation{Endpoint: endpoint.Incarnation(), Sent: now.Add(time.Second), Statement: advisory.Statement{
-		RateLimit: advisory.Advertised[float64]{Unreadable: "few"},
-		Cooldown:  advisory.Advertised[time.Duration]{Unreadable: "soon"},
-		Draining:  advisory.Advertised[bool]{Unreadable: "perhaps"},
+		RateLimit: advisory.Advertised[float64]{InvalidValue: "few"},
+		Cooldown:  advisory.Advertised[time.Duration]{InvalidValue: "soon"},
+		Draining:  advisory.Advertised[bool]{InvalidValue: "perhaps"},
 	}}, now.Add(2*time.Second))
 	require.EqualValues(t, 2, tracker.RateLimit(endpoint.Incarnation()).PerSecond)
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, now))
--- a/internal/throttle/hold.go
+++ b/internal/throttle/hold.go
@@ -55,7 +55,7 @@
 		t.markDraining(o.Endpoint, "endpoint response", now)
 	}
 	switch {
-	case o.RateLimit.Unreadable != "":
+	case o.RateLimit.InvalidValue != "":
 	case o.RateLimit.Value > 0:
 		t.SetLimit(o.Endpoint, o.RateLimit.Value, now)
 	case !o.Sent.IsZero():
@@ -68,9 +68,9 @@
 
 // logInvalid logs advisories that could not be parsed; earlier ones stay in force.
 func (t *Tracker) logInvalid(o advisory.Observation) {
-	t.logInvalidValue(o, "rate limit", o.RateLimit.Unreadable)
-	t.logInvalidValue(o, "cooldown", o.Cooldown.Unreadable)
-	t.logInvalidValue(o, "draining", o.Draining.Unreadable)
+	t.logInvalidValue(o, "rate limit", o.RateLimit.InvalidValue)
+	t.logInvalidValue(o, "cooldown", o.Cooldown.InvalidValue)
+	t.logInvalidValue(o, "draining", o.Draining.InvalidValue)
 }
 
 func (t *Tracker) logInvalidValue(o advisory.Observation, name, value string) {
--- a/lab/experiments/admission.go
+++ b/lab/experiments/admission.go
@@ -185,7 +185,7 @@
 	switch d.Outcome {
 	case admission.OutcomeAdmitted:
 		r.start(now, q)
-	case admission.OutcomeRefused:
+	case admission.OutcomeRejected:
 		r.reject(now, q, d.RetryAfter)
 	}
 }
--- a/lab/experiments/baselines.go
+++ b/lab/experiments/baselines.go
@@ -170,7 +170,7 @@
 func (b *baseline) dissolve(g fleet.Group) {
 	b.dissolved[g.ID] = true
 	b.counts[g.Template]--
-	b.actions = append(b.actions, placement.Action{Kind: placement.ActionEnd, Group: g})
+	b.actions = append(b.actions, placement.Action{Kind: placement.ActionDissolve, Group: g})
 	for _, m := range g.Members {
 		if in := b.byID[m.Instance]; in.Fresh {
 			b.free[g.Domain] = append(b.free[g.Domain], in)
--- a/lab/experiments/placement_simulation.go
+++ b/lab/experiments/placement_simulation.go
@@ -215,16 +215,16 @@
 	if a.Kind == placement.ActionForm {
 		g.ID = fleet.GroupID(fmt.Sprintf("g%d", s.lastID))
 	}
-	if a.Kind != placement.ActionEnd && !s.membersFree(g, old) {
+	if a.Kind != placement.ActionDissolve && !s.membersFree(g, old) {
 		return
 	}
 	s.result.Moves++
 	for _, m := range old.Members {
-		if a.Kind == placement.ActionEnd || !g.Has(m.Instance) {
+		if a.Kind == placement.ActionDissolve || !g.Has(m.Instance) {
 			s.release(s.byID[m.Instance])
 		}
 	}
-	if a.Kind == placement.ActionEnd {
+	if a.Kind == placement.ActionDissolve {
 		delete(s.groups, g.ID)
 		return
 	}
--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -22,7 +22,7 @@
 const (
 	OutcomeAdmitted Outcome = iota
 	OutcomeQueued
-	OutcomeRefused
+	OutcomeRejected
 )
 
 // Reason is why a request was rejected.
@@ -226,7 +226,7 @@
 }
 
 func reject(id ID, reason Reason, after time.Duration) Decision {
-	return Decision{ID: id, Outcome: OutcomeRefused, Reason: reason, RetryAfter: after}
+	return Decision{ID: id, Outcome: OutcomeRejected, Reason: reason, RetryAfter: after}
 }
 
 func (p *pool) queued() int {
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -31,7 +31,7 @@
 func TestArrive_RejectsWithoutCapacity(t *testing.T) {
 	m := New()
 	d := m.Arrive(start, request(1, "a"))
-	assert.Equal(t, Decision{ID: 1, Outcome: OutcomeRefused, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter}, d)
+	assert.Equal(t, Decision{ID: 1, Outcome: OutcomeRejected, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter}, d)
 }
 
 func TestFinish_AdmitsQueuedRequest(t *testing.T) {
@@ -61,7 +61,7 @@
 	q := request(2, "a")
 	q.Deadline = start.Add(10 * time.Millisecond)
 	d := m.Arrive(start, q)
-	assert.Equal(t, OutcomeRefused, d.Outcome)
+	assert.Equal(t, OutcomeRejected, d.Outcome)
 	assert.Equal(t, ReasonBusy, d.Reason)
 	assert.GreaterOrEqual(t, d.RetryAfter, minRetryAfter)
 }
@@ -78,7 +78,7 @@
 		q := request(100+i, "a")
 		q.Deadline = start.Add(time.Second)
 		d := m.Arrive(start, q)
-		require.Equal(t, OutcomeRefused, d.Outcome)
+		require.Equal(t, OutcomeRejected, d.Outcome)
 		assert.Greater(t, d.RetryAfter, last)
 		last = d.RetryAfter
 	}
@@ -94,7 +94,7 @@
 	}
 	q := request(100, "a")
 	q.Deadline = start.Add(3 * time.Second)
-	require.Equal(t, OutcomeRefused, m.Arrive(start, q).Outcome)
+	require.Equal(t, OutcomeRejected, m.Arrive(start, q).Outcome)
 	q.IsRetry = true
 	require.Equal(t, OutcomeQueued, m.Arrive(start, q).Outcome)
 	assert.Equal(t, ID(100), m.Finish(start.Add(time.Second), 0, true)[0].ID)
@@ -191,7 +191,7 @@
 					running[next] = true
 				case OutcomeQueued:
 					queued[next] = true
-				case OutcomeRefused:
+				case OutcomeRejected:
 					if d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter {
 						t.Fatalf("RetryAfter is out of bounds: %s", d.RetryAfter)
 					}
--- a/pkg/advisory/statement.go
+++ b/pkg/advisory/statement.go
@@ -21,9 +21,9 @@
 type Advertised[T any] struct {
 	// Value is zero if the response has none.
 	Value T
-	// Unreadable is an invalid value in the response, for the log. It neither sets nor clears
+	// InvalidValue is an invalid value in the response, for the log. It neither sets nor clears
 	// the value.
-	Unreadable string
+	InvalidValue string
 }
 
 // Observation is a Statement with its origin.
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -155,8 +155,8 @@
 	Deleted bool `json:"gone,omitempty"`
 	// Revision is the data centre's group revision of the last change.
 	Revision uint64 `json:"revision"`
-	// Since is when the group was first committed.
-	Since time.Time `json:"since"`
+	// CreatedAt is when the group was first committed.
+	CreatedAt time.Time `json:"since"`
 }
 
 // Fence returns the fencing token that orders for the group carry.
--- a/pkg/ledger/ledger.go
+++ b/pkg/ledger/ledger.go
@@ -173,7 +173,7 @@
 		group.Epoch, group.Generation = l.epoch, revision
 	case placement.ActionRepair:
 		group.Epoch, group.Generation = l.epoch, revision
-	case placement.ActionEnd:
+	case placement.ActionDissolve:
 		group.Deleted = true
 	}
 	c := Change{Group: group}
--- a/pkg/membership/heartbeat.go
+++ b/pkg/membership/heartbeat.go
@@ -43,8 +43,8 @@
 	Reports []fleet.Report
 	// Ack is the last Seq received from the receiver's incarnation EchoFor.
 	Ack uint64
-	// Leaving is set by a sender that is stopping.
-	Leaving bool
+	// Stopping is set when the sender is shutting down.
+	Stopping bool
 	// ConfigurationRevision and GroupsRevision are the sender's revisions.
 	ConfigurationRevision uint64
 	GroupsRevision        uint64
@@ -58,7 +58,7 @@
 
 // LocalState is the caller's state that an outgoing heartbeat includes.
 type LocalState struct {
-	Leaving               bool
+	Stopping              bool
 	ConfigurationRevision uint64
 	GroupsRevision        uint64
 	Demand                map[string]float64
@@ -70,7 +70,7 @@
 		From:                  t.options.Self,
 		Incarnation:           t.options.Incarnation,
 		Stamp:                 now.Sub(t.options.Start),
-		Leaving:               state.Leaving,
+		Stopping:              state.Stopping,
 		ConfigurationRevision: state.ConfigurationRevision,
 		GroupsRevision:        state.GroupsRevision,
 	}
@@ -142,7 +142,7 @@
 		p.node = h.From
 	}
 	p.stamp = h.Stamp
-	p.stopping = h.Leaving
+	p.stopping = h.Stopping
 	for pool, rate := range h.Demand {
 		p.demand[pool] = rate
 	}
--- a/pkg/placement/grow.go
+++ b/pkg/placement/grow.go
@@ -78,11 +78,11 @@
 
 func (s *step) addGroup(d Demand, domain string, taken []*Instance, reason string) {
 	g := fleet.Group{
-		Domain:   domain,
-		Template: d.Template,
-		Weights:  d.Weights,
-		Role:     d.Role,
-		Since:    s.v.Now,
+		Domain:    domain,
+		Template:  d.Template,
+		Weights:   d.Weights,
+		Role:      d.Role,
+		CreatedAt: s.v.Now,
 	}
 	for _, in := range taken {
 		g.Members = append(g.Members, member(in))
@@ -100,7 +100,7 @@
 func (s *step) drainForRoom(d Demand) {
 	var chosen *groupState
 	for _, g := range s.groups {
-		if g.ended || g.Template == d.Template || !s.fits(g.Domain, d) {
+		if g.dissolved || g.Template == d.Template || !s.fits(g.Domain, d) {
 			continue
 		}
 		if g.Draining {
@@ -151,7 +151,7 @@
 func (s *step) staleGroup(d Demand) *groupState {
 	for _, g := range s.groups {
 		stale := g.Weights != d.Weights || len(g.Members) != d.Size
-		if g.Template == d.Template && stale && !g.ended && !g.Draining {
+		if g.Template == d.Template && stale && !g.dissolved && !g.Draining {
 			return g
 		}
 	}
@@ -161,7 +161,7 @@
 // isRolling reports whether a change of the template's groups is in progress.
 func (s *step) isRolling(d Demand) bool {
 	for _, g := range s.groups {
-		if g.Template != d.Template || g.ended {
+		if g.Template != d.Template || g.dissolved {
 			continue
 		}
 		if g.Draining || !s.isSettled(g) {
@@ -176,7 +176,7 @@
 // instances would be left without any.
 func (s *step) isSettled(g *groupState) bool {
 	since, ok := s.p.servingSince[g.ID]
-	return ok && s.v.Now.Sub(since) >= s.p.options.Settle
+	return ok && s.v.Now.Sub(since) >= s.p.options.SettleTime
 }
 
 func (s *step) serving(g *groupState) bool {
@@ -216,7 +216,7 @@
 // drainOrphans drains the groups of templates without a demand.
 func (s *step) drainOrphans() {
 	for _, g := range s.groups {
-		if _, ok := s.demand(g.Template); !ok && !g.ended && !g.Draining {
+		if _, ok := s.demand(g.Template); !ok && !g.dissolved && !g.Draining {
 			s.drain(g, "its template has no demand")
 		}
 	}
@@ -225,7 +225,7 @@
 func (s *step) lastGroup(template string) *groupState {
 	var last *groupState
 	for _, g := range s.groups {
-		if g.Template == template && !g.ended && !g.Draining && !g.changed {
+		if g.Template == template && !g.dissolved && !g.Draining && !g.changed {
 			last = g
 		}
 	}
@@ -242,7 +242,7 @@
 	protected := 0
 	accelerators := 0
 	for _, g := range s.groups {
-		if g == excluded || g.Domain != domain || g.ended {
+		if g == excluded || g.Domain != domain || g.dissolved {
 			continue
 		}
 		protected += len(g.Members)
@@ -317,7 +317,7 @@
 func (s *step) heaviestWeights(domain string) string {
 	sums := map[string]float64{}
 	for _, g := range s.groups {
-		if g.Domain == domain && !g.ended && !g.Draining {
+		if g.Domain == domain && !g.dissolved && !g.Draining {
 			sums[g.Weights] += math.Max(s.weight(g), 1e-9)
 		}
 	}
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -63,10 +63,10 @@
 	// RestartGrace is how long a group without a replacement waits for its member to restart
 	// before the remaining members are used elsewhere.
 	RestartGrace time.Duration
-	// Settle is how long every entry instance may take to see a change of a group. A group
+	// SettleTime is how long every entry instance may take to see a change of a group. A group
 	// drains for at least this time before it is dissolved, and serves for at least this time
 	// before another group of its template may be drained.
-	Settle time.Duration
+	SettleTime time.Duration
 	// ShrinkAfter is how long a template must have surplus groups before one is drained.
 	ShrinkAfter time.Duration
 	// LoadBudget is how many instances may load weights at once.
@@ -85,7 +85,7 @@
 		LostGrace:       2 * time.Second,
 		WarmGrace:       200 * time.Millisecond,
 		RestartGrace:    2 * time.Minute,
-		Settle:          4 * time.Second,
+		SettleTime:      4 * time.Second,
 		ShrinkAfter:     time.Minute,
 		LoadBudget:      16,
 		LoadTime:        90 * time.Second,
@@ -107,8 +107,8 @@
 	ActionDrain
 	// ActionResume lets a draining group serve again.
 	ActionResume
-	// ActionEnd dissolves a group.
-	ActionEnd
+	// ActionDissolve dissolves a group.
+	ActionDissolve
 	// ActionPreload loads weights on a spare instance.
 	ActionPreload
 )
@@ -162,7 +162,7 @@
 	s := newStep(p, v)
 	s.trackStale()
 	s.classify()
-	s.endDrainedGroups()
+	s.dissolveDrainedGroups()
 	s.repair()
 	s.drainForDrainingMembers()
 	s.grow()
@@ -197,7 +197,7 @@
 	// inGrace is the number of members without evidence whose grace has not passed.
 	inGrace        int
 	memberDraining bool
-	ended          bool
+	dissolved      bool
 	changed        bool
 }
 
@@ -325,17 +325,17 @@
 
 func (s *step) add(a Action) { s.actions = append(s.actions, a) }
 
-// endDrainedGroups dissolves draining groups that are empty.
-func (s *step) endDrainedGroups() {
+// dissolveDrainedGroups dissolves draining groups that are empty.
+func (s *step) dissolveDrainedGroups() {
 	for _, g := range s.groups {
-		if !g.Draining || g.ended {
+		if !g.Draining || g.dissolved {
 			continue
 		}
-		if s.v.Now.Sub(s.p.drainingSince[g.ID]) < s.p.options.Settle {
+		if s.v.Now.Sub(s.p.drainingSince[g.ID]) < s.p.options.SettleTime {
 			continue
 		}
 		if len(g.missing) > 0 || s.isIdle(g) {
-			s.end(g, "it has drained")
+			s.dissolve(g, "it has drained")
 		}
 	}
 }
@@ -347,11 +347,11 @@
 	return in != nil && in.Fresh && in.Report.Load == 0
 }
 
-// end dissolves a group and returns its live members to the free list.
-func (s *step) end(g *groupState, reason string) {
-	g.ended = true
+// dissolve dissolves a group and returns its live members to the free list.
+func (s *step) dissolve(g *groupState, reason string) {
+	g.dissolved = true
 	g.changed = true
-	s.add(Action{Kind: ActionEnd, Group: g.Group, Reason: reason})
+	s.add(Action{Kind: ActionDissolve, Group: g.Group, Reason: reason})
 	for _, m := range g.Members {
 		in := s.instances[m.Instance]
 		if in != nil && in.Fresh && !in.isDraining() {
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -76,7 +76,7 @@
 	case ActionForm:
 		g.ID = fleet.GroupID(fmt.Sprintf("g%d", dc.next))
 		dc.view.Groups = append(dc.view.Groups, g)
-	case ActionEnd:
+	case ActionDissolve:
 		g.Deleted = true
 	}
 	g.Generation = uint64(dc.next)
--- a/pkg/placement/repair.go
+++ b/pkg/placement/repair.go
@@ -11,11 +11,11 @@
 func (s *step) repair() {
 	broken := s.brokenGroups()
 	for _, g := range broken {
-		if g.ended {
+		if g.dissolved {
 			continue
 		}
 		if g.Draining || !s.isNeeded(g) {
-			s.end(g, "it lost a member and is not needed")
+			s.dissolve(g, "it lost a member and is not needed")
 			continue
 		}
 		if s.repairInPlace(g) {
@@ -28,7 +28,7 @@
 func (s *step) brokenGroups() []*groupState {
 	var out []*groupState
 	for _, g := range s.groups {
-		if len(g.missing) > 0 && !g.ended {
+		if len(g.missing) > 0 && !g.dissolved {
 			out = append(out, g)
 		}
 	}
@@ -61,7 +61,7 @@
 func (s *step) count(template string) int {
 	n := 0
 	for _, g := range s.groups {
-		if g.Template == template && !g.ended && !g.Draining {
+		if g.Template == template && !g.dissolved && !g.Draining {
 			n++
 		}
 	}
@@ -143,13 +143,13 @@
 func (s *step) reclaimForRepair(g *groupState, broken []*groupState) {
 	for i := len(broken) - 1; i >= 0; i-- {
 		donor := broken[i]
-		if donor == g || donor.ended || donor.Domain != g.Domain || len(donor.missing) == 0 {
+		if donor == g || donor.dissolved || donor.Domain != g.Domain || len(donor.missing) == 0 {
 			continue
 		}
 		if len(donor.Members)-len(donor.missing) < len(g.missing) {
 			continue
 		}
-		s.end(donor, "its remaining members repair group "+string(g.ID))
+		s.dissolve(donor, "its remaining members repair group "+string(g.ID))
 		s.repairInPlace(g)
 		return
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	if s.hasRoomElsewhere(g) {
-		s.end(g, "its domain has no replacement and another domain has room")
+		s.dissolve(g, "its domain has no replacement and another domain has room")
 	}
 }
 
@@ -168,7 +168,7 @@
 func (s *step) drainSurplusIn(domain string) bool {
 	var chosen *groupState
 	for _, g := range s.groups {
-		if g.Domain != domain || g.ended || len(g.missing) > 0 {
+		if g.Domain != domain || g.dissolved || len(g.missing) > 0 {
 			continue
 		}
 		if g.Draining {
@@ -214,7 +214,7 @@
 // forms its replacement in the same step.
 func (s *step) drainForDrainingMembers() {
 	for _, g := range s.groups {
-		if !g.memberDraining || g.ended || g.Draining || g.changed || len(g.missing) > 0 {
+		if !g.memberDraining || g.dissolved || g.Draining || g.changed || len(g.missing) > 0 {
 			continue
 		}
 		s.drain(g, "a member is draining")
--- a/pkg/serving/serving.go
+++ b/pkg/serving/serving.go
@@ -91,8 +91,8 @@
 	Size int
 	// Fraction is the model's share of the expected load.
 	Fraction float64
-	// Pace multiplies all of the engine's times.
-	Pace float64
+	// TimeFactor multiplies all of the engine's times.
+	TimeFactor float64
 	// LoadTime is the time to load the weights from the weight store, WarmTime
 	// from the host's memory.
 	LoadTime time.Duration
@@ -101,19 +101,19 @@
 
 // Engine is the performance model of a service's engines.
 type Engine struct {
-	Slots        int
-	StepTime     time.Duration
-	PerSequence  time.Duration
-	PerThousand  time.Duration // for each thousand tokens of context
-	TokensPerSec float64       // prompt tokens read per second
-	PairsTime    time.Duration // for each million pairs of tokens
-	Chunk        int           // prompt tokens read in one pass
-	StepsPerPass int
-	MemoryTokens int
-	FarFactor    float64 // slowdown of a group that spans domains
-	LoadsPerSec  float64
-	LoadsAtOnce  int
-	Models       []Model
+	Slots              int
+	StepTime           time.Duration
+	PerSequence        time.Duration
+	PerThousand        time.Duration // for each thousand tokens of context
+	TokensPerSec       float64       // prompt tokens read per second
+	PairsTime          time.Duration // for each million pairs of tokens
+	Chunk              int           // prompt tokens read in one pass
+	StepsPerPass       int
+	MemoryTokens       int
+	CrossDomainFactor  float64 // slowdown of a group that spans domains
+	LoadsPerSec        float64
+	MaxConcurrentLoads int
+	Models             []Model
 }
 
 // Model returns a model by name.
