--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -94,10 +94,10 @@
 			}
 			for range pattern(step) * random.IntN(maxRequestsPerStep+1) {
 				budget.RecordRequest("llm", now)
-				log.Request(now)
+				log.RecordRequest(now)
 				wanted := c.retryFraction >= 1 || random.Float64() < c.retryFraction
 				if wanted && step >= stepAt(12*time.Second) && acquireRetry(budget, "llm", now) {
-					log.Repeat(now)
+					log.RecordRetry(now)
 				}
 			}
 		}
--- a/internal/standin/advisorylog/advisorylog.go
+++ b/internal/standin/advisorylog/advisorylog.go
@@ -12,13 +12,13 @@
 // Bound limits the requests that may reach an endpoint after it has advertised a cooldown or
 // draining to a node.
 type Bound struct {
-	// Requests is the maximum number of requests from the node in the part of a cooldown that
+	// MaxRequests is the maximum number of requests from the node in the part of a cooldown that
 	// is more than Grace after the endpoint's response.
-	Requests int
-	Grace    time.Duration
-	// Drain is how long after a draining mark a caller may send the node a request that still
+	MaxRequests int
+	Grace       time.Duration
+	// DrainGrace is how long after a draining mark a caller may send the node a request that still
 	// reaches the endpoint.
-	Drain time.Duration
+	DrainGrace time.Duration
 }
 
 // Log holds the arrivals, cooldowns and draining marks. It is safe for concurrent use.
@@ -49,16 +49,16 @@
 	return &Log{arrivals: map[nodeEndpoint][]arrival{}, cooldowns: map[nodeEndpoint][]cooldown{}, drainingSince: map[nodeEndpoint]time.Time{}}
 }
 
-// CoolDown records that an endpoint has rejected a node's request and asked for a cooldown.
-func (l *Log) CoolDown(node, endpoint string, duration time.Duration, at time.Time) {
+// RecordCooldown records that an endpoint has rejected a node's request and asked for a cooldown.
+func (l *Log) RecordCooldown(node, endpoint string, duration time.Duration, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := nodeEndpoint{node, endpoint}
 	l.cooldowns[p] = append(l.cooldowns[p], cooldown{at, duration})
 }
 
-// Mark records that an endpoint's response to a node carried a draining mark.
-func (l *Log) Mark(node, endpoint string, at time.Time) {
+// RecordDraining records that an endpoint's response to a node carried a draining mark.
+func (l *Log) RecordDraining(node, endpoint string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := nodeEndpoint{node, endpoint}
@@ -67,16 +67,16 @@
 	}
 }
 
-// Arrived records that a caller's request has reached an endpoint from a node.
-func (l *Log) Arrived(node, endpoint string, sent, at time.Time) {
+// RecordArrival records that a caller's request has reached an endpoint from a node.
+func (l *Log) RecordArrival(node, endpoint string, sent, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := nodeEndpoint{node, endpoint}
 	l.arrivals[p] = append(l.arrivals[p], arrival{sent, at})
 }
 
-// CoolDowns returns the number of cooldowns requested by endpoints.
-func (l *Log) CoolDowns() int {
+// Cooldowns returns the number of cooldowns requested by endpoints.
+func (l *Log) Cooldowns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -86,8 +86,8 @@
 	return n
 }
 
-// Since returns the number of requests that reached an endpoint from any node after a time.
-func (l *Log) Since(endpoint string, from time.Time) int {
+// ArrivalsSince returns the number of requests that reached an endpoint from any node after a time.
+func (l *Log) ArrivalsSince(endpoint string, from time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -108,15 +108,15 @@
 	defer l.mu.Unlock()
 	for p, asked := range l.cooldowns {
 		for _, c := range asked {
-			if got := l.arrivalsDuring(p, c, b); got > b.Requests && calm(c.from) {
-				return fmt.Errorf("endpoint %s asked node %s for a cooldown of %s and got %d requests during it; allowed %d", p.endpoint, p.node, c.duration, got, b.Requests)
+			if got := l.arrivalsDuring(p, c, b); got > b.MaxRequests && calm(c.from) {
+				return fmt.Errorf("endpoint %s asked node %s for a cooldown of %s and got %d requests during it; allowed %d", p.endpoint, p.node, c.duration, got, b.MaxRequests)
 			}
 		}
 	}
 	for p, marked := range l.drainingSince {
 		for _, a := range l.arrivals[p] {
-			if late := a.sent.Sub(marked); late > b.Drain && calm(marked) {
-				return fmt.Errorf("endpoint %s told node %s that it is draining and got a request sent by its caller %s later; allowed %s", p.endpoint, p.node, late, b.Drain)
+			if late := a.sent.Sub(marked); late > b.DrainGrace && calm(marked) {
+				return fmt.Errorf("endpoint %s told node %s that it is draining and got a request sent by its caller %s later; allowed %s", p.endpoint, p.node, late, b.DrainGrace)
 			}
 		}
 	}
--- a/internal/standin/advisorylog/advisorylog_test.go
+++ b/internal/standin/advisorylog/advisorylog_test.go
@@ -9,7 +9,7 @@
 	"github.com/ridgehinge/ridgehinge/internal/standin/advisorylog"
 )
 
-var bound = advisorylog.Bound{Requests: 2, Grace: 500 * time.Millisecond, Drain: 2 * time.Second}
+var bound = advisorylog.Bound{MaxRequests: 2, Grace: 500 * time.Millisecond, DrainGrace: 2 * time.Second}
 
 func always(time.Time) bool { return true }
 
@@ -29,10 +29,10 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := advisorylog.New()
-			l.CoolDown("n", "e", 3*time.Second, began)
+			l.RecordCooldown("n", "e", 3*time.Second, began)
 			for _, after := range test.after {
-				l.Arrived("n", "e", began.Add(after), began.Add(after))
-				l.Arrived("other", "e", began.Add(after), began.Add(after))
+				l.RecordArrival("n", "e", began.Add(after), began.Add(after))
+				l.RecordArrival("other", "e", began.Add(after), began.Add(after))
 			}
 			require.Equal(t, test.ok, l.Check(bound, test.calm) == nil)
 		})
@@ -42,12 +42,12 @@
 func TestCheck_DrainingMark(t *testing.T) {
 	began := time.Now()
 	l := advisorylog.New()
-	l.Mark("n", "e", began)
+	l.RecordDraining("n", "e", began)
 	// Sent by the caller within the bound, although it arrives later.
-	l.Arrived("n", "e", began.Add(time.Second), began.Add(5*time.Second))
+	l.RecordArrival("n", "e", began.Add(time.Second), began.Add(5*time.Second))
 	// The mark was not advertised to this node.
-	l.Arrived("other", "e", began.Add(3*time.Second), began.Add(3*time.Second))
+	l.RecordArrival("other", "e", began.Add(3*time.Second), began.Add(3*time.Second))
 	require.NoError(t, l.Check(bound, always))
-	l.Arrived("n", "e", began.Add(2100*time.Millisecond), began.Add(2200*time.Millisecond))
+	l.RecordArrival("n", "e", began.Add(2100*time.Millisecond), began.Add(2200*time.Millisecond))
 	require.Error(t, l.Check(bound, always))
 }
--- a/internal/standin/crashlog/crashlog.go
+++ b/internal/standin/crashlog/crashlog.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Bound limits a request that has crashed Ends endpoints: more than Grace after the last of
-// these crashes, it may be sent at most Sends more times.
+// Bound limits a request that has caused Crashes crashes: more than Grace after the last of
+// these crashes, it may be sent at most MaxSends more times.
 type Bound struct {
-	Ends  int
-	Sends int
-	Grace time.Duration
+	Crashes  int
+	MaxSends int
+	Grace    time.Duration
 }
 
 // Log holds the sends and crashes of each request content. It is safe for concurrent use.
@@ -39,24 +39,24 @@
 	return h
 }
 
-// Sent records that a request with this content has reached an endpoint.
-func (l *Log) Sent(content string, at time.Time) {
+// RecordSend records that a request with this content has reached an endpoint.
+func (l *Log) RecordSend(content string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.history(content)
 	h.sends = append(h.sends, at)
 }
 
-// Ended records that a request with this content has crashed an endpoint.
-func (l *Log) Ended(content string, at time.Time) {
+// RecordCrash records that a request with this content has crashed an endpoint.
+func (l *Log) RecordCrash(content string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.history(content)
 	h.crashes = append(h.crashes, at)
 }
 
-// Ends returns the number of endpoints crashed by requests with this content.
-func (l *Log) Ends(content string) int {
+// Crashes returns the number of endpoints crashed by requests with this content.
+func (l *Log) Crashes(content string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.history(content).crashes)
@@ -68,19 +68,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for content, h := range l.contents {
-		if len(h.crashes) < b.Ends {
+		if len(h.crashes) < b.Crashes {
 			continue
 		}
-		from := h.crashes[b.Ends-1].Add(b.Grace)
+		from := h.crashes[b.Crashes-1].Add(b.Grace)
 		sends := 0
 		for _, at := range h.sends {
 			if at.After(from) && calm(at) {
 				sends++
 			}
 		}
-		if sends > b.Sends {
+		if sends > b.MaxSends {
 			return fmt.Errorf("a request that had crashed %d endpoints was sent %d more times; it crashed %d in all: %.60s",
-				b.Ends, sends, len(h.crashes), content)
+				b.Crashes, sends, len(h.crashes), content)
 		}
 	}
 	return nil
--- a/internal/standin/limitlog/limitlog.go
+++ b/internal/standin/limitlog/limitlog.go
@@ -51,9 +51,9 @@
 	return h
 }
 
-// Named records that an endpoint advertises a limit from now on, in requests per second; zero
+// RecordLimit records that an endpoint advertises a limit from now on, in requests per second; zero
 // or less ends the limit.
-func (l *Log) Named(endpoint string, perSecond float64, at time.Time) {
+func (l *Log) RecordLimit(endpoint string, perSecond float64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.history(endpoint)
@@ -69,16 +69,16 @@
 	}
 }
 
-// Arrived records that a request has reached an endpoint.
-func (l *Log) Arrived(endpoint string, at time.Time) {
+// RecordArrival records that a request has reached an endpoint.
+func (l *Log) RecordArrival(endpoint string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.history(endpoint)
 	h.arrivals = append(h.arrivals, at)
 }
 
-// Limits returns the number of periods with a limit, over all endpoints.
-func (l *Log) Limits() int {
+// LimitPeriods returns the number of periods with a limit, over all endpoints.
+func (l *Log) LimitPeriods() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
--- a/internal/standin/limitlog/limitlog_test.go
+++ b/internal/standin/limitlog/limitlog_test.go
@@ -35,12 +35,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			log := limitlog.New()
-			log.Named("e", test.limit, began)
+			log.RecordLimit("e", test.limit, began)
 			for at := time.Second; at < 20*time.Second; at += test.every {
-				log.Arrived("e", began.Add(at))
+				log.RecordArrival("e", began.Add(at))
 			}
 			if test.until > 0 {
-				log.Named("e", 0, began.Add(test.until))
+				log.RecordLimit("e", 0, began.Add(test.until))
 			}
 			calm := test.calm
 			if calm == nil {
--- a/internal/standin/retrylog/retrylog.go
+++ b/internal/standin/retrylog/retrylog.go
@@ -21,11 +21,11 @@
 	retries  []time.Time
 }
 
-// Request records the first attempt of a request.
-func (l *Log) Request(at time.Time) { l.requests = append(l.requests, at) }
+// RecordRequest records the first attempt of a request.
+func (l *Log) RecordRequest(at time.Time) { l.requests = append(l.requests, at) }
 
-// Repeat records a retry.
-func (l *Log) Repeat(at time.Time) { l.retries = append(l.retries, at) }
+// RecordRetry records a retry.
+func (l *Log) RecordRetry(at time.Time) { l.retries = append(l.retries, at) }
 
 // Counts returns the numbers of recorded retries and requests.
 func (l *Log) Counts() (retries, requests int) { return len(l.retries), len(l.requests) }
--- a/internal/standin/retrylog/retrylog_test.go
+++ b/internal/standin/retrylog/retrylog_test.go
@@ -13,11 +13,11 @@
 	var l Log
 	require.Zero(t, l.Worst(budget))
 	for range 50 {
-		l.Request(start.Add(time.Second))
+		l.RecordRequest(start.Add(time.Second))
 	}
 	addRetries := func(n int, at time.Time) {
 		for range n {
-			l.Repeat(at)
+			l.RecordRetry(at)
 		}
 	}
 	addRetries(15, start.Add(time.Second))
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -71,7 +71,7 @@
 
 // crashBound limits the sends of a request that crashes endpoints, when there has been no fault
 // for the grace.
-var crashBound = crashlog.Bound{Ends: 3, Sends: 3, Grace: 3 * time.Second}
+var crashBound = crashlog.Bound{Crashes: 3, MaxSends: 3, Grace: 3 * time.Second}
 
 // retryBudget is the budget of all entry instances together. The slack dominates, so that
 // incarnations that each use their own share of it would exceed the budget.
@@ -81,7 +81,7 @@
 var limitBound = limitlog.Bound{Factor: 1.5, Slack: 5, Window: 4 * time.Second, Grace: 3 * time.Second}
 
 // advisoryBound limits the requests to an endpoint that advertises a cooldown or draining.
-var advisoryBound = advisorylog.Bound{Requests: 2, Grace: 500 * time.Millisecond, Drain: 2 * time.Second}
+var advisoryBound = advisorylog.Bound{MaxRequests: 2, Grace: 500 * time.Millisecond, DrainGrace: 2 * time.Second}
 
 // process is an entry instance.
 type process struct {
