--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	value, err := json.Marshal(serving.Configuration{Version: version})
 	require.NoError(t, err)
-	require.NoError(t, store.Force(table.Change{Writes: []table.Row{{Table: testTable, Key: testKey, Value: value}}}))
+	require.NoError(t, store.CommitIgnoringFaults(table.Change{Writes: []table.Row{{Table: testTable, Key: testKey, Value: value}}}))
 }
 
 // runWatcher runs a configuration watcher and then the test, both with a fake clock. The directory
--- a/internal/gossip/quarantinetable_test.go
+++ b/internal/gossip/quarantinetable_test.go
@@ -179,7 +179,7 @@
 		{Table: QuarantineTable, Key: fingerprintOf(8).String(), Value: []byte(`{"ends":"all"}`)},
 		{Table: QuarantineTable, Key: fingerprintOf(9).String(), Value: nil},
 	}
-	require.NoError(t, store.Force(table.Change{Writes: rows}))
+	require.NoError(t, store.CommitIgnoringFaults(table.Change{Writes: rows}))
 	after := newTestTable(store, true)
 	after.run(t.Context(), time.Second)
 	require.Equal(t, 1, after.blocked())
--- a/internal/groupcontrol/groupcontrol_test.go
+++ b/internal/groupcontrol/groupcontrol_test.go
@@ -70,7 +70,7 @@
 	}}
 	value, err := json.Marshal(c)
 	require.NoError(t, err)
-	require.NoError(t, dc.table.Force(table.Change{Writes: []table.Row{{
+	require.NoError(t, dc.table.CommitIgnoringFaults(table.Change{Writes: []table.Row{{
 		Table: fleetstandin.ConfigurationTable, Key: fleetstandin.ConfigurationKey, Value: value,
 	}}}))
 	for i := range endpoints {
@@ -146,13 +146,13 @@
 	require.Eventually(dc.t, func() bool {
 		open := dc.fleet.Open()
 		return open["large"] >= large && open["small"] >= small
-	}, timeout, 5*time.Millisecond, "open: %v, broken: %v", dc.fleet.Open(), dc.fleet.Broken())
+	}, timeout, 5*time.Millisecond, "open: %v, broken: %v", dc.fleet.Open(), dc.fleet.Violations())
 	dc.requireUnbroken()
 }
 
 func (dc *testDataCentre) requireUnbroken() {
 	dc.t.Helper()
-	require.Empty(dc.t, dc.fleet.Broken())
+	require.Empty(dc.t, dc.fleet.Violations())
 }
 
 func TestController_FormsGroupsAndKeepsSpares(t *testing.T) {
@@ -181,7 +181,7 @@
 			dc.awaitOpen(1, 1)
 			dc.awaitStaged()
 			dead := dc.member("large", rank)
-			dc.fleet.Set(dead, fleetstandin.Dark)
+			dc.fleet.SetCondition(dead, fleetstandin.Terminated)
 			dc.awaitOpen(1, 1)
 			require.Equal(t, 7, dc.fleet.JoinLoads())
 		})
@@ -211,7 +211,7 @@
 	require.Eventually(t, func() bool { return dc.fleet.Loads() == 2*10 }, timeout, 5*time.Millisecond)
 	time.Sleep(2 * models[0].LoadTime)
 	dead := dc.member("large", 1)
-	dc.fleet.Set(dead, fleetstandin.Dark)
+	dc.fleet.SetCondition(dead, fleetstandin.Terminated)
 	dc.awaitOpen(1, 1)
 	require.Equal(t, 10, dc.fleet.JoinLoads())
 }
@@ -267,7 +267,7 @@
 	dc.awaitOpen(1, 1)
 	head := dc.member("large", 0)
 	dc.setSuspects(head)
-	dc.fleet.Set(head, fleetstandin.CutOff)
+	dc.fleet.SetCondition(head, fleetstandin.Isolated)
 	require.Eventually(t, func() bool {
 		groups := map[string]int{}
 		for i := range 9 {
@@ -285,7 +285,7 @@
 	dc.startController("n1")
 	dc.awaitOpen(1, 1)
 	draining := dc.member("large", 2)
-	dc.fleet.Set(draining, fleetstandin.Leaving)
+	dc.fleet.SetCondition(draining, fleetstandin.Draining)
 	require.Eventually(t, func() bool { return dc.fleet.Group(draining).Group == "" && dc.fleet.Open()["large"] == 1 }, timeout, 5*time.Millisecond)
 	dc.requireUnbroken()
 }
@@ -301,7 +301,7 @@
 	// Nothing changes until the new controller has the lease and something to repair.
 	time.Sleep(time.Second)
 	require.Equal(t, orders, dc.fleet.Orders())
-	dc.fleet.Set(dc.member("small", 1), fleetstandin.Dark)
+	dc.fleet.SetCondition(dc.member("small", 1), fleetstandin.Terminated)
 	dc.awaitOpen(1, 1)
 }
 
@@ -352,11 +352,11 @@
 	orders := dc.fleet.Orders()
 	member := dc.member("large", 2)
 	group := dc.fleet.Group(member).Group
-	dc.fleet.Set(member, fleetstandin.Unlisted)
+	dc.fleet.SetCondition(member, fleetstandin.Unlisted)
 	time.Sleep(time.Second)
 	require.Equal(t, orders, dc.fleet.Orders())
 	require.Equal(t, group, dc.fleet.Group(member).Group)
-	dc.fleet.Set(member, fleetstandin.Dark)
+	dc.fleet.SetCondition(member, fleetstandin.Terminated)
 	require.Eventually(t, func() bool { return dc.fleet.Orders() > orders && dc.fleet.Open()["large"] == 1 }, timeout, 5*time.Millisecond)
 	dc.requireUnbroken()
 }
@@ -377,7 +377,7 @@
 	dc.awaitStaged()
 	head, member := dc.member("large", 0), dc.member("large", 2)
 	group := dc.fleet.Group(member).Group
-	dc.fleet.Set(member, fleetstandin.CutOff)
+	dc.fleet.SetCondition(member, fleetstandin.Isolated)
 	dc.setSuspects(member)
 	time.Sleep(time.Second)
 	require.Equal(t, group, dc.fleet.Group(head).Group, "the group must be kept")
@@ -408,10 +408,10 @@
 	dc.awaitOpen(1, 1)
 	dc.awaitStaged()
 	dead := dc.member("large", 1)
-	dc.fleet.Set(dead, fleetstandin.Dark)
+	dc.fleet.SetCondition(dead, fleetstandin.Terminated)
 	require.Eventually(t, func() bool { return dc.fleet.Open()["large"] == 0 }, timeout, 5*time.Millisecond)
 	dc.awaitOpen(1, 1)
-	require.Zero(t, dc.fleet.Refused())
+	require.Zero(t, dc.fleet.RejectedOrders())
 }
 
 // Runs with delayed orders, crashed and isolated endpoints, crashed controllers and two
@@ -424,7 +424,7 @@
 			dc := newDataCentre(t, 18)
 			var lateMu sync.Mutex
 			lateRandom := rand.New(rand.NewPCG(seed, 2))
-			dc.fleet.SetLate(func() time.Duration {
+			dc.fleet.SetOrderDelay(func() time.Duration {
 				lateMu.Lock()
 				defer lateMu.Unlock()
 				if lateRandom.Float64() < 0.25 {
@@ -439,13 +439,13 @@
 				victim := id(random.IntN(added))
 				switch random.IntN(6) {
 				case 0:
-					dc.fleet.Set(victim, fleetstandin.Dark)
+					dc.fleet.SetCondition(victim, fleetstandin.Terminated)
 				case 1:
-					dc.fleet.Set(victim, fleetstandin.CutOff)
+					dc.fleet.SetCondition(victim, fleetstandin.Isolated)
 				case 2:
 					dc.setSuspects(victim)
 				case 3:
-					dc.fleet.Set(victim, fleetstandin.Unlisted)
+					dc.fleet.SetCondition(victim, fleetstandin.Unlisted)
 				case 4:
 					dc.add(added)
 					added++
@@ -474,7 +474,7 @@
 	// Longer than the lease TTL.
 	time.Sleep(3 * leaseTTL)
 	dead := dc.member("large", 1)
-	dc.fleet.Set(dead, fleetstandin.Dark)
+	dc.fleet.SetCondition(dead, fleetstandin.Terminated)
 	dc.setSuspects(dead)
 	dc.awaitOpen(1, 1)
 	// The group survives the end of the outage.
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -148,9 +148,9 @@
 	return f
 }
 
-// SetLate leaves orders unanswered and applies them after the delay that the function returns,
+// SetOrderDelay leaves orders unanswered and applies them after the delay that the function returns,
 // if it is positive.
-func (f *Fleet) SetLate(delay func() time.Duration) {
+func (f *Fleet) SetOrderDelay(delay func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orderDelay = delay
@@ -170,28 +170,28 @@
 type Condition uint8
 
 const (
-	// Well endpoints answer and are listed.
-	Well Condition = iota
-	// Dark endpoints are terminated and have no row.
-	Dark
-	// CutOff endpoints run, but are isolated: they have no row and controllers cannot reach
+	// Healthy endpoints answer and are listed.
+	Healthy Condition = iota
+	// Terminated endpoints are terminated and have no row.
+	Terminated
+	// Isolated endpoints run, but are isolated: they have no row and controllers cannot reach
 	// them.
-	CutOff
+	Isolated
 	// Unlisted endpoints answer, but have no row.
 	Unlisted
-	// Leaving endpoints advertise that they are draining.
-	Leaving
+	// Draining endpoints advertise that they are draining.
+	Draining
 )
 
-// Set changes the condition of an endpoint.
-func (f *Fleet) Set(id serving.EndpointID, c Condition) {
+// SetCondition changes the condition of an endpoint.
+func (f *Fleet) SetCondition(id serving.EndpointID, c Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
-	e.terminated = c == Dark
-	e.unreachable = c == Dark || c == CutOff
-	e.unlisted = c == Dark || c == CutOff || c == Unlisted
-	e.Draining = c == Leaving
+	e.terminated = c == Terminated
+	e.unreachable = c == Terminated || c == Isolated
+	e.unlisted = c == Terminated || c == Isolated || c == Unlisted
+	e.Draining = c == Draining
 	if e.unlisted {
 		f.commit(table.Change{Removals: []table.Row{{Table: f.endpointTable, Key: string(id)}}})
 		return
@@ -233,8 +233,8 @@
 // nextStart returns a start time later than that of the previous incarnation.
 func (f *Fleet) nextStart(before int64) int64 { return max(before+1, time.Now().UnixMilli()) }
 
-// Broken returns the violated invariants in the order of their detection.
-func (f *Fleet) Broken() []string {
+// Violations returns the violated invariants in the order of their detection.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
@@ -261,8 +261,8 @@
 	return f.joinLoads
 }
 
-// Refused returns the number of answered orders that were rejected.
-func (f *Fleet) Refused() int {
+// RejectedOrders returns the number of answered orders that were rejected.
+func (f *Fleet) RejectedOrders() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rejectedOrders
@@ -324,9 +324,9 @@
 	f.commit(table.Change{Writes: []table.Row{{Table: f.endpointTable, Key: string(e.ID), Value: f.encode(row)}}})
 }
 
-// WriteAgain makes every running endpoint rewrite its row at a random time within a period, as
+// RewriteRows makes every running endpoint rewrite its row at a random time within a period, as
 // after a restore of the table. The rows of unlisted endpoints are removed.
-func (f *Fleet) WriteAgain(within time.Duration) {
+func (f *Fleet) RewriteRows(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id := range f.endpoints {
@@ -347,7 +347,7 @@
 }
 
 // commit writes to the table regardless of its faults.
-func (f *Fleet) commit(c table.Change) { _ = f.table.Force(c) }
+func (f *Fleet) commit(c table.Change) { _ = f.table.CommitIgnoringFaults(c) }
 
 // Report implements groupcontrol.Endpoints.
 func (f *Fleet) Report(ctx context.Context, _ string, id serving.EndpointID) (serving.Report, error) {
--- a/internal/standin/memtable/memtable.go
+++ b/internal/standin/memtable/memtable.go
@@ -23,9 +23,9 @@
 	Silent bool
 	// LoseAnswers applies writes without answering them.
 	LoseAnswers bool
-	// Late applies a write after this delay, if its conditions hold then, without answering
+	// ApplyDelay applies a write after this delay, if its conditions hold then, without answering
 	// it. 0 applies writes at once.
-	Late time.Duration
+	ApplyDelay time.Duration
 }
 
 type rowID struct{ table, partition, key string }
@@ -72,8 +72,8 @@
 	return t.reads[name]
 }
 
-// ForgetHistory discards the history, so that watches from older versions must resync.
-func (t *Table) ForgetHistory() {
+// CompactHistory discards the history, so that watches from older versions must resync.
+func (t *Table) CompactHistory() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.history = nil
@@ -193,8 +193,8 @@
 	t.mu.Lock()
 	faults := t.faults
 	t.mu.Unlock()
-	if faults.Late > 0 {
-		time.AfterFunc(faults.Late, func() { _, _ = t.apply(c) })
+	if faults.ApplyDelay > 0 {
+		time.AfterFunc(faults.ApplyDelay, func() { _, _ = t.apply(c) })
 		<-ctx.Done()
 		return 0, errors.Join(table.ErrUnknown, ctx.Err())
 	}
@@ -232,9 +232,9 @@
 
 func idOf(r table.Row) rowID { return rowID{r.Table, r.Partition, r.Key} }
 
-// Force applies a change regardless of the faults, as for a writer that is not affected by
+// CommitIgnoringFaults applies a change regardless of the faults, as for a writer that is not affected by
 // them.
-func (t *Table) Force(c table.Change) error {
+func (t *Table) CommitIgnoringFaults(c table.Change) error {
 	_, err := t.apply(c)
 	return err
 }
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -71,11 +71,11 @@
 			r.injectProxyFault(r.proxies[0], entry.sourceAddress, faultproxy.Fault{Refuse: true}, 2*duration)
 		}
 	case 9:
-		faults := []memtable.Faults{{Down: true}, silentStore, {LoseAnswers: true}, {LoseAnswers: true, Late: duration / 4}}
+		faults := []memtable.Faults{{Down: true}, silentStore, {LoseAnswers: true}, {LoseAnswers: true, ApplyDelay: duration / 4}}
 		chosen := faults[r.random.IntN(len(faults))]
 		return func() { r.injectStoreFault(chosen, duration) }
 	case 10:
-		return r.platform.Table.ForgetHistory
+		return r.platform.Table.CompactHistory
 	case 11:
 		return func() { r.configure(); r.configure() }
 	case 12:
@@ -85,14 +85,14 @@
 	case 14:
 		return func() { r.writeForeign(duration) }
 	case 15:
-		condition := []fleetstandin.Condition{fleetstandin.Dark, fleetstandin.Unlisted, fleetstandin.CutOff}[r.random.IntN(3)]
+		condition := []fleetstandin.Condition{fleetstandin.Terminated, fleetstandin.Unlisted, fleetstandin.Isolated}[r.random.IntN(3)]
 		return func() { r.injectWorkerFault(worker, condition, 2*duration) }
 	}
 	late := duration / 3
 	return func() {
-		r.platform.Fleet.SetLate(func() time.Duration { return late })
+		r.platform.Fleet.SetOrderDelay(func() time.Duration { return late })
 		time.Sleep(duration)
-		r.platform.Fleet.SetLate(func() time.Duration { return 0 })
+		r.platform.Fleet.SetOrderDelay(func() time.Duration { return 0 })
 	}
 }
 
@@ -372,9 +372,9 @@
 
 // injectWorkerFault sets a worker's condition for a time.
 func (r *Run) injectWorkerFault(id serving.EndpointID, condition fleetstandin.Condition, duration time.Duration) {
-	r.platform.Fleet.Set(id, condition)
+	r.platform.Fleet.SetCondition(id, condition)
 	time.Sleep(duration)
-	r.platform.Fleet.Set(id, fleetstandin.Well)
+	r.platform.Fleet.SetCondition(id, fleetstandin.Healthy)
 }
 
 func (r *Run) injectStoreFault(f memtable.Faults, duration time.Duration) {
@@ -386,7 +386,7 @@
 // heal removes all faults of the store, the fleet and the proxies.
 func (r *Run) heal() {
 	r.platform.Table.SetFaults(memtable.Faults{})
-	r.platform.Fleet.SetLate(func() time.Duration { return 0 })
+	r.platform.Fleet.SetOrderDelay(func() time.Duration { return 0 })
 	for _, proxy := range r.proxies {
 		proxy.Heal()
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -257,7 +257,7 @@
 func (r *Run) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	violations := append(append([]string{}, r.violations...), r.platform.Fleet.Broken()...)
+	violations := append(append([]string{}, r.violations...), r.platform.Fleet.Violations()...)
 	if err := r.platform.RetriesBeyond(retryBudget); err != nil {
 		violations = append(violations, err.Error())
 	}
