--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -148,8 +148,8 @@
 	return f
 }
 
-// SetOrderDelay leaves orders unanswered and applies them after the delay that the function returns,
-// if it is positive.
+// SetOrderDelay leaves orders unanswered and applies them after the delay that the function
+// returns, if it is positive.
 func (f *Fleet) SetOrderDelay(delay func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,10 +172,9 @@
 const (
 	// Healthy endpoints answer and are listed.
 	Healthy Condition = iota
-	// Terminated endpoints are terminated and have no row.
+	// Terminated endpoints do not run and have no row.
 	Terminated
-	// Isolated endpoints run, but are isolated: they have no row and controllers cannot reach
-	// them.
+	// Isolated endpoints run, but have no row and are unreachable for controllers.
 	Isolated
 	// Unlisted endpoints answer, but have no row.
 	Unlisted
--- a/internal/standin/memtable/memtable.go
+++ b/internal/standin/memtable/memtable.go
@@ -23,8 +23,8 @@
 	Silent bool
 	// LoseAnswers applies writes without answering them.
 	LoseAnswers bool
-	// ApplyDelay applies a write after this delay, if its conditions hold then, without answering
-	// it. 0 applies writes at once.
+	// ApplyDelay is the delay after which a write is applied, if its conditions hold then,
+	// without answering it. 0 applies writes at once.
 	ApplyDelay time.Duration
 }
 
@@ -232,8 +232,8 @@
 
 func idOf(r table.Row) rowID { return rowID{r.Table, r.Partition, r.Key} }
 
-// CommitIgnoringFaults applies a change regardless of the faults, as for a writer that is not affected by
-// them.
+// CommitIgnoringFaults applies a change regardless of the faults, as for a writer that is not
+// affected by them.
 func (t *Table) CommitIgnoringFaults(c table.Change) error {
 	_, err := t.apply(c)
 	return err
--- a/lab/cluster/call.go
+++ b/lab/cluster/call.go
@@ -22,18 +22,18 @@
 	Header map[string]string
 }
 
-// Answer is the response to a Call.
-type Answer struct {
+// Response is the response to a Call.
+type Response struct {
 	Status  int
 	Outcome string
 	Body    string
 	// Text is the concatenated content of a chat response.
 	Text string
-	// Whole is set for a stream that ended with [DONE], and for any other
+	// Complete is set for a stream that ended with [DONE], and for any other
 	// response that was read completely with status 200.
-	Whole bool
-	// Failed is set if the stream contained an error event.
-	Failed     bool
+	Complete bool
+	// ErrorEvent is set if the stream contained an error event.
+	ErrorEvent bool
 	RetryAfter string
 	// Err is a transport error.
 	Err error
@@ -48,22 +48,22 @@
 	return Call{Key: key, Path: "/v1/chat/completions", Body: body}
 }
 
-// Want returns the complete text that the stand-in generates for Chat.
-func Want(prompt string, tokens int) string {
+// ExpectedText returns the complete text that the stand-in generates for Chat.
+func ExpectedText(prompt string, tokens int) string {
 	return enginestandin.Answer("user:"+prompt+"\n", tokens)
 }
 
 // Send sends a call to an entry instance and reads the complete response.
-func (e *Entry) Send(call Call) Answer { return e.SendContext(context.Background(), call, nil) }
+func (e *Entry) Send(call Call) Response { return e.SendContext(context.Background(), call, nil) }
 
 // SendContext is Send with a context and an optional callback, which gets the
 // text received so far after each token.
-func (e *Entry) SendContext(ctx context.Context, call Call, progress func(string)) Answer {
+func (e *Entry) SendContext(ctx context.Context, call Call, progress func(string)) Response {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Callers+call.Path, strings.NewReader(call.Body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.CallerAddress+call.Path, strings.NewReader(call.Body))
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+call.Key)
 	for name, value := range call.Header {
@@ -71,10 +71,10 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	defer response.Body.Close()
-	a := Answer{
+	a := Response{
 		Status:     response.StatusCode,
 		Outcome:    response.Header.Get(gateway.HeaderOutcome),
 		RetryAfter: response.Header.Get("Retry-After"),
@@ -85,7 +85,7 @@
 	}
 	text, err := io.ReadAll(response.Body)
 	a.Body, a.Err = string(text), err
-	a.Whole = err == nil && response.StatusCode == http.StatusOK
+	a.Complete = err == nil && response.StatusCode == http.StatusOK
 	return a
 }
 
@@ -97,20 +97,20 @@
 	} `json:"choices"`
 }
 
-func (a *Answer) readStream(body io.Reader, progress func(string)) {
+func (a *Response) readStream(body io.Reader, progress func(string)) {
 	scanner := bufio.NewScanner(body)
 	for scanner.Scan() {
 		line := scanner.Text()
 		a.Body += line + "\n"
 		if line == "event: error" {
-			a.Failed = true
+			a.ErrorEvent = true
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			a.Whole = true
+			a.Complete = true
 			continue
 		}
 		var c chunk
--- a/lab/cluster/entry.go
+++ b/lab/cluster/entry.go
@@ -15,9 +15,9 @@
 type Entry struct {
 	*Process
 	DataCentre string
-	// Callers and Operator are the addresses of the two APIs.
-	Callers  string
-	Operator string
+	// CallerAddress and OperatorAddress are the addresses of the two APIs.
+	CallerAddress   string
+	OperatorAddress string
 }
 
 // testTuning shortens the daemons' intervals and timeouts for tests. They are
@@ -61,9 +61,9 @@
 	c.lastIP++
 	ip := fmt.Sprintf("127.0.1.%d", c.lastIP)
 	e := &Entry{
-		DataCentre: dc,
-		Callers:    c.freeAddress(ip),
-		Operator:   c.freeAddress(ip),
+		DataCentre:      dc,
+		CallerAddress:   c.freeAddress(ip),
+		OperatorAddress: c.freeAddress(ip),
 	}
 	address := c.freeAddress(ip)
 	path := filepath.Join(c.dir, name+".ini")
@@ -71,7 +71,7 @@
 	e.Source = netip.MustParseAddr(ip)
 	text := fmt.Sprintf("[node]\nname = %s\ndata_centre = %s\n[listen]\ncallers = %s\noperator = %s\npeers = %s\npeers_advertised = %s\n"+
 		"[keys]\npeers = %s\noperator = %s\n[platform]\naddress = %s\n%s",
-		name, dc, e.Callers, e.Operator, address, e.Proxy.Address(), peerKey, OperatorKey, c.Platform.Proxy.Address(), c.Tuning)
+		name, dc, e.CallerAddress, e.OperatorAddress, address, e.Proxy.Address(), peerKey, OperatorKey, c.Platform.Proxy.Address(), c.Tuning)
 	require.NoError(c.t, os.WriteFile(path, []byte(text), 0o600))
 	c.launch(e.Process)
 	c.Entries = append(c.Entries, e)
--- a/lab/cluster/observe.go
+++ b/lab/cluster/observe.go
@@ -19,7 +19,7 @@
 
 // Client returns a client of the entry instance's operator API.
 func (e *Entry) Client() *operatorapi.Client {
-	return operatorapi.NewClient(e.Operator, OperatorKey)
+	return operatorapi.NewClient(e.OperatorAddress, OperatorKey)
 }
 
 // Status returns the status of an entry instance, or false if the request
@@ -44,9 +44,9 @@
 	return accepted.Revision
 }
 
-// Serving returns the groups of a template that an entry instance may route
+// ServingGroups returns the groups of a template that an entry instance may route
 // requests to.
-func (e *Entry) Serving(template string) []control.GroupStatus {
+func (e *Entry) ServingGroups(template string) []control.GroupStatus {
 	s, ok := e.Status()
 	if !ok {
 		return nil
@@ -66,7 +66,7 @@
 	c.t.Helper()
 	c.Eventually(fmt.Sprintf("%d groups of %s serve in %s", groups, template, dc), func() bool {
 		for _, e := range c.Entries {
-			if e.DataCentre == dc && e.running && len(e.Serving(template)) != groups {
+			if e.DataCentre == dc && e.running && len(e.ServingGroups(template)) != groups {
 				return false
 			}
 		}
@@ -111,9 +111,9 @@
 	return report, json.NewDecoder(response.Body).Decode(&report)
 }
 
-// Order sends an endpoint an order to load weights that no controller issued,
+// SendStrayOrder sends an endpoint an order to load weights that no controller issued,
 // bypassing its proxy.
-func (c *Cluster) Order(p *Process, group string, generation uint64) {
+func (c *Cluster) SendStrayOrder(p *Process, group string, generation uint64) {
 	c.post(p.Address, engine.PathOrders, engine.Order{
 		Kind:        engine.OrderLoad,
 		Group:       fleet.GroupID(group),
@@ -123,28 +123,28 @@
 	})
 }
 
-// Leave makes an endpoint report that it is draining.
-func (c *Cluster) Leave(p *Process) { c.post(p.Address, "/standin/leave", struct{}{}) }
+// StartDraining makes an endpoint report that it is draining.
+func (c *Cluster) StartDraining(p *Process) { c.post(p.Address, "/standin/leave", struct{}{}) }
 
-// Cut partitions entry instances from processes: connections stay open, but no
+// Partition partitions entry instances from processes: connections stay open, but no
 // data passes in either direction.
-func Cut(from []*Entry, to ...*Process) {
-	setFaults(from, to, faultproxy.Fault{HoldUp: true, HoldDown: true})
+func Partition(from []*Entry, to ...*Process) {
+	setFaults(from, to, faultproxy.Fault{StallUpstream: true, StallDownstream: true})
 }
 
-// Heal removes the faults set by Cut.
+// Heal removes the faults set by Partition.
 func Heal(from []*Entry, to ...*Process) { setFaults(from, to, faultproxy.Fault{}) }
 
 func setFaults(from []*Entry, to []*Process, f faultproxy.Fault) {
 	for _, p := range to {
 		for _, e := range from {
-			p.Proxy.Set(e.Source, f)
+			p.Proxy.SetFault(e.Source, f)
 		}
 	}
 }
 
-// In returns the entry instances of a data centre.
-func (c *Cluster) In(dc string) []*Entry {
+// EntriesIn returns the entry instances of a data centre.
+func (c *Cluster) EntriesIn(dc string) []*Entry {
 	var out []*Entry
 	for _, e := range c.Entries {
 		if e.DataCentre == dc {
@@ -154,9 +154,9 @@
 	return out
 }
 
-// Others returns the other entry instances of the same data centre.
-func (c *Cluster) Others(one *Entry) []*Entry {
-	return slices.DeleteFunc(c.In(one.DataCentre), func(e *Entry) bool { return e == one })
+// OtherEntries returns the other entry instances of the same data centre.
+func (c *Cluster) OtherEntries(one *Entry) []*Entry {
+	return slices.DeleteFunc(c.EntriesIn(one.DataCentre), func(e *Entry) bool { return e == one })
 }
 
 // Processes returns the process of each entry instance.
@@ -173,12 +173,12 @@
 	c.t.Helper()
 	var holder *Entry
 	c.Eventually("a controller is known in "+dc, func() bool {
-		for _, e := range c.In(dc) {
+		for _, e := range c.EntriesIn(dc) {
 			s, ok := e.Status()
 			if !ok {
 				continue
 			}
-			for _, other := range c.In(dc) {
+			for _, other := range c.EntriesIn(dc) {
 				if other.Name == s.Controller {
 					holder = other
 					return true
--- a/lab/cmd/load/pair.go
+++ b/lab/cmd/load/pair.go
@@ -110,7 +110,7 @@
 }
 
 func (b *testbed) request(n, tokens int) *http.Request {
-	request, _ := http.NewRequest(http.MethodPost, "http://"+b.entry.Callers+engine.PathChat, strings.NewReader(chatBody(n, tokens)))
+	request, _ := http.NewRequest(http.MethodPost, "http://"+b.entry.CallerAddress+engine.PathChat, strings.NewReader(chatBody(n, tokens)))
 	request.Header.Set("Authorization", "Bearer "+workspaceKey)
 	return request
 }
--- a/lab/cmd/load/recovery.go
+++ b/lab/cmd/load/recovery.go
@@ -55,7 +55,7 @@
 			b.AddEntry(fmt.Sprintf("entry-%s-%d", dc, i), dc)
 		}
 	}
-	b.near, b.far = b.In("near"), b.In("far")
+	b.near, b.far = b.EntriesIn("near"), b.EntriesIn("far")
 	b.revision = b.Submit(b.near[0], b.template(0), 0)
 	b.WaitServing("near", "load", recoveryGroups)
 	b.WaitServing("far", "load", recoveryGroups)
@@ -80,7 +80,7 @@
 // serving groups, none of them with an excluded generation.
 func allServing(entries []*cluster.Entry, groups int, excluded ...uint64) bool {
 	for _, e := range entries {
-		serving := e.Serving("load")
+		serving := e.ServingGroups("load")
 		if len(serving) != groups {
 			return false
 		}
@@ -191,7 +191,7 @@
 	p, g := b.pickMember("near", 2)
 	b.Kill(old.Process)
 	b.Kill(p)
-	others := b.Others(old)
+	others := b.OtherEntries(old)
 	start := time.Now()
 	takeover := b.timeUntil("another entry instance has the lease", func() bool {
 		s, ok := others[0].Status()
@@ -226,9 +226,9 @@
 }
 
 func (b *recoveryTestbed) measurePartition(round int) []time.Duration {
-	cluster.Cut(b.far, b.Platform)
-	cluster.Cut(b.far, cluster.Processes(b.near)...)
-	cluster.Cut(b.near, cluster.Processes(b.far)...)
+	cluster.Partition(b.far, b.Platform)
+	cluster.Partition(b.far, cluster.Processes(b.near)...)
+	cluster.Partition(b.near, cluster.Processes(b.far)...)
 	b.submit(b.near[0], round)
 	time.Sleep(faultDuration)
 	cluster.Heal(b.far, b.Platform)
--- a/lab/cmd/load/steady.go
+++ b/lab/cmd/load/steady.go
@@ -75,9 +75,9 @@
 func (c *steadyCommand) waitServing(t *standaloneT, cl *cluster.Cluster, groups int) {
 	deadline := time.Now().Add(formTimeout)
 	for _, e := range cl.Entries {
-		for len(e.Serving("load")) < groups {
+		for len(e.ServingGroups("load")) < groups {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s serves %d of %d groups after %s", e.Name, len(e.Serving("load")), groups, formTimeout)
+				t.Fatalf("%s serves %d of %d groups after %s", e.Name, len(e.ServingGroups("load")), groups, formTimeout)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -110,7 +110,7 @@
 // them by link and direction.
 func controlBytes(e *cluster.Entry) map[string]float64 {
 	out := map[string]float64{}
-	response, err := http.Get("http://" + e.Callers + "/metrics")
+	response, err := http.Get("http://" + e.CallerAddress + "/metrics")
 	if err != nil {
 		return out
 	}
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -16,17 +16,17 @@
 	// Refuse closes open connections, and new ones right after they are
 	// accepted.
 	Refuse bool
-	// HoldUp and HoldDown stall the data to and from the target until the
+	// StallUpstream and StallDownstream stall the data to and from the target until the
 	// fault is cleared, as a network partition does to TCP.
-	HoldUp   bool
-	HoldDown bool
+	StallUpstream   bool
+	StallDownstream bool
 	// Delay is added before each write, in both directions.
 	Delay time.Duration
 }
 
-// Any is the source whose fault applies to all sources that were not passed to
-// Set since the last Heal.
-var Any = netip.Addr{}
+// AnySource is the source whose fault applies to all sources that were not passed to
+// SetFault since the last ClearFaults.
+var AnySource = netip.Addr{}
 
 // Proxy forwards connections to one target.
 type Proxy struct {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Set sets the fault of one source; the zero Fault clears it.
-func (p *Proxy) Set(source netip.Addr, f Fault) {
+// SetFault sets the fault of one source; the zero Fault clears it.
+func (p *Proxy) SetFault(source netip.Addr, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[source] = f
@@ -99,26 +99,26 @@
 		return
 	}
 	for conn, from := range p.conns {
-		if source == Any || from == source {
+		if source == AnySource || from == source {
 			_ = conn.Close()
 		}
 	}
 }
 
-// Silence stalls the connections of a source that are open now, permanently and
+// StallOpenConnections stalls the connections of a source that are open now, permanently and
 // without closing them. New connections work.
-func (p *Proxy) Silence(source netip.Addr) {
+func (p *Proxy) StallOpenConnections(source netip.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn, from := range p.conns {
-		if source == Any || from == source {
+		if source == AnySource || from == source {
 			p.stalled[conn] = true
 		}
 	}
 }
 
-// Heal clears all faults. Connections stalled by Silence stay so.
-func (p *Proxy) Heal() {
+// ClearFaults clears all faults. Connections stalled by StallOpenConnections stay so.
+func (p *Proxy) ClearFaults() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.faults)
@@ -145,7 +145,7 @@
 	if f, ok := p.faults[source]; ok {
 		return f
 	}
-	return p.faults[Any]
+	return p.faults[AnySource]
 }
 
 func (p *Proxy) accept(listener net.Listener) {
@@ -174,8 +174,8 @@
 	}
 	defer p.untrack(downstream, upstream)
 	var pipes sync.WaitGroup
-	pipes.Go(func() { p.pipe(upstream, downstream, source, func(f Fault) bool { return f.HoldUp }) })
-	pipes.Go(func() { p.pipe(downstream, upstream, source, func(f Fault) bool { return f.HoldDown }) })
+	pipes.Go(func() { p.pipe(upstream, downstream, source, func(f Fault) bool { return f.StallUpstream }) })
+	pipes.Go(func() { p.pipe(downstream, upstream, source, func(f Fault) bool { return f.StallDownstream }) })
 	pipes.Wait()
 }
 
--- a/lab/faultproxy/faultproxy_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against Silence closing connections, affecting new ones, or being
-// undone by Heal.
+// Guards against StallOpenConnections closing connections, affecting new ones, or being
+// undone by ClearFaults.
 func TestProxy_StallsOnlyOpenConnections(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,11 +39,11 @@
 	require.NoError(t, err)
 	defer existing.Close()
 	require.NoError(t, echo(existing, 10*time.Second))
-	proxy.Silence(Any)
+	proxy.StallOpenConnections(AnySource)
 	var timeout net.Error
 	require.ErrorAs(t, echo(existing, 100*time.Millisecond), &timeout)
 	require.True(t, timeout.Timeout())
-	proxy.Heal()
+	proxy.ClearFaults()
 	require.ErrorAs(t, echo(existing, 100*time.Millisecond), &timeout, "Heal must not resume a stalled connection")
 	fresh, err := net.Dial("tcp", proxy.Address())
 	require.NoError(t, err)
--- a/lab/integration/cluster_test.go
+++ b/lab/integration/cluster_test.go
@@ -45,19 +45,19 @@
 	before := c.Groups("kochi")[0]
 	c.Freeze(old.Process)
 	c.Kill(member(c, before, 2))
-	other := c.Others(old)[0]
+	other := c.OtherEntries(old)[0]
 	c.Eventually("a successor repairs the group", func() bool {
-		groups := other.Serving("wallet")
+		groups := other.ServingGroups("wallet")
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
 	c.Thaw(old.Process)
 	// An order of an unknown sender moves the member to another group.
 	repaired := c.Groups("kochi")[0]
 	victim := member(c, repaired, 1)
-	c.Order(victim, "stray-group", 1)
+	c.SendStrayOrder(victim, "stray-group", 1)
 	c.Eventually("the member is returned to its group", func() bool {
 		report := c.Report(victim)
-		return report.Group == repaired.ID && report.Phase == fleet.PhaseReady && len(other.Serving("wallet")) == 1
+		return report.Group == repaired.ID && report.Phase == fleet.PhaseReady && len(other.ServingGroups("wallet")) == 1
 	})
 	assertComplete(t, other.Send(cluster.Chat(walletKey, "in line", 8)), "in line", 8)
 	require.Len(t, c.Groups("kochi"), 1)
@@ -95,14 +95,14 @@
 	c.SetPlatformFaults(platformstandin.Faults{Down: true})
 	c.Kill(old.Process)
 	c.Kill(member(c, before, 3))
-	other := c.Others(old)[0]
-	c.Eventually("the group is out of service", func() bool { return len(other.Serving("wallet")) == 0 })
+	other := c.OtherEntries(old)[0]
+	c.Eventually("the group is out of service", func() bool { return len(other.ServingGroups("wallet")) == 0 })
 	c.Eventually("the other data centre serves a request", func() bool {
-		return other.Send(cluster.Chat(walletKey, "help", 8)).Whole
+		return other.Send(cluster.Chat(walletKey, "help", 8)).Complete
 	})
 	c.SetPlatformFaults(platformstandin.Faults{LoseAnswers: 3})
 	c.Eventually("the group is repaired", func() bool {
-		groups := other.Serving("wallet")
+		groups := other.ServingGroups("wallet")
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
 	require.Len(t, c.Groups("kochi"), 1)
@@ -124,7 +124,7 @@
 			default:
 			}
 			prompt := fmt.Sprintf("rolling %d", i)
-			if a := e.Send(cluster.Chat(walletKey, prompt, 30)); a.Text != cluster.Want(prompt, 30) {
+			if a := e.Send(cluster.Chat(walletKey, prompt, 30)); a.Text != cluster.ExpectedText(prompt, 30) {
 				failed <- fmt.Sprintf("%d %s", a.Status, a.Body)
 				return
 			}
@@ -133,7 +133,7 @@
 	c.Submit(e, strings.Replace(template(1), "model = savings", "model = savings\nversion = 2", 1), 1)
 	c.Eventually("only the new version serves", func() bool {
 		groups := c.Groups("kochi")
-		return len(groups) == 1 && groups[0].Weights == "savings@2" && len(e.Serving("wallet")) == 1
+		return len(groups) == 1 && groups[0].Weights == "savings@2" && len(e.ServingGroups("wallet")) == 1
 	})
 	close(stop)
 	assert.Empty(t, <-failed, "a request failed during the rollout")
@@ -148,7 +148,7 @@
 	require.NoError(t, err, string(out))
 	file := filepath.Join(t.TempDir(), "wallet.ini")
 	run := func(args ...string) (string, int) {
-		command := exec.Command(tool, append([]string{"-server", c.Entries[1].Operator, "-key", cluster.OperatorKey}, args...)...)
+		command := exec.Command(tool, append([]string{"-server", c.Entries[1].OperatorAddress, "-key", cluster.OperatorKey}, args...)...)
 		out, _ := command.CombinedOutput()
 		return string(out), command.ProcessState.ExitCode()
 	}
@@ -170,8 +170,8 @@
 		{"does not fit", strings.Replace(template(1), "replica_size = 4", "replica_size = 30", 1), []string{"template", "revise", "-base", "3", file}, 1, "replica_size: given \"30\", allowed: at most 4"},
 		{"no such template", "", []string{"template", "show", "none"}, 1, "there is no template none"},
 		{"wrong use", "", []string{"template", "revise", file}, 2, "usage"},
-		{"request", "", []string{"request", "-gateway", c.Entries[0].Callers, "-workspace-key", walletKey, "hello"}, 0, "[DONE]"},
-		{"wrong key", "", []string{"request", "-gateway", c.Entries[0].Callers, "-workspace-key", "wrong", "hello"}, 1, "not-run"},
+		{"request", "", []string{"request", "-gateway", c.Entries[0].CallerAddress, "-workspace-key", walletKey, "hello"}, 0, "[DONE]"},
+		{"wrong key", "", []string{"request", "-gateway", c.Entries[0].CallerAddress, "-workspace-key", "wrong", "hello"}, 1, "not-run"},
 	} {
 		if step.text != "" {
 			write(step.text)
@@ -180,7 +180,7 @@
 		assert.Equal(t, step.code, code, "%s: %s", step.name, out)
 		assert.Contains(t, out, step.says, step.name)
 	}
-	out, err = exec.Command(tool, "-server", c.Entries[1].Operator, "-key", "wrong", "status").CombinedOutput()
+	out, err = exec.Command(tool, "-server", c.Entries[1].OperatorAddress, "-key", "wrong", "status").CombinedOutput()
 	assert.Error(t, err)
 	assert.Contains(t, string(out), "the operator's key is missing or wrong")
 }
--- a/lab/integration/control_test.go
+++ b/lab/integration/control_test.go
@@ -20,7 +20,7 @@
 
 var bg = context.Background()
 
-var silenceBoth = faultproxy.Fault{HoldUp: true, HoldDown: true}
+var silenceBoth = faultproxy.Fault{StallUpstream: true, StallDownstream: true}
 
 func withCancel() (context.Context, context.CancelFunc) { return context.WithCancel(bg) }
 
@@ -30,7 +30,7 @@
 	t.Parallel()
 	c := start(t, 9, 1)
 	old := c.Controller("kochi")
-	other := c.Others(old)[0]
+	other := c.OtherEntries(old)[0]
 	c.Freeze(old.Process)
 	c.Eventually("another takes the lease", func() bool {
 		s, ok := other.Status()
@@ -39,11 +39,11 @@
 	before := c.Groups("kochi")[0]
 	c.Kill(member(c, before, 1))
 	c.Submit(other, template(2), 1)
-	c.Eventually("the successor repairs the group and adds another", func() bool { return len(other.Serving("wallet")) == 2 })
+	c.Eventually("the successor repairs the group and adds another", func() bool { return len(other.ServingGroups("wallet")) == 2 })
 	c.Thaw(old.Process)
 	c.Eventually("the old controller accepts its successor", func() bool {
 		s, ok := old.Status()
-		return ok && s.Controller == other.Name && len(old.Serving("wallet")) == 2
+		return ok && s.Controller == other.Name && len(old.ServingGroups("wallet")) == 2
 	})
 	require.Len(t, c.Groups("kochi"), 2)
 	assertComplete(t, old.Send(cluster.Chat(walletKey, "thawed", 8)), "thawed", 8)
@@ -58,9 +58,9 @@
 	before := c.Groups("tvm")[0]
 	c.Kill(old.Process)
 	c.Kill(member(c, before, 0))
-	other := c.Others(old)[0]
+	other := c.OtherEntries(old)[0]
 	c.Eventually("the group is repaired", func() bool {
-		groups := other.Serving("wallet")
+		groups := other.ServingGroups("wallet")
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
 	assertComplete(t, other.Send(cluster.Chat(walletKey, "after the repair", 8)), "after the repair", 8)
@@ -94,10 +94,10 @@
 		prompt := fmt.Sprintf("during the outage %d", i)
 		assertComplete(t, e.Send(cluster.Chat(walletKey, prompt, 8)), prompt, 8)
 	}
-	c.Kill(c.Endpoints[string(e.Serving("wallet")[0].Members[1].Instance)])
-	c.Eventually("the group is out of service", func() bool { return len(e.Serving("wallet")) == 0 })
+	c.Kill(c.Endpoints[string(e.ServingGroups("wallet")[0].Members[1].Instance)])
+	c.Eventually("the group is out of service", func() bool { return len(e.ServingGroups("wallet")) == 0 })
 	c.SetPlatformFaults(platformstandin.Faults{})
-	c.Eventually("the group is repaired", func() bool { return len(e.Serving("wallet")) == 1 })
+	c.Eventually("the group is repaired", func() bool { return len(e.ServingGroups("wallet")) == 1 })
 	assertComplete(t, e.Send(cluster.Chat(walletKey, "after the outage", 8)), "after the outage", 8)
 }
 
@@ -123,7 +123,7 @@
 			return false
 		}
 		require.Contains(t, []configuration.Revision{0, revision}, s.Configuration, "an older configuration is active")
-		return s.Configuration == revision && len(e.Serving("wallet")) == 1
+		return s.Configuration == revision && len(e.ServingGroups("wallet")) == 1
 	})
 	assertComplete(t, e.Send(cluster.Chat(walletKey, "fresh", 8)), "fresh", 8)
 }
@@ -133,10 +133,10 @@
 func TestDataCentre_Isolated(t *testing.T) {
 	t.Parallel()
 	c := start(t, 4, 1)
-	kochi, tvm := c.In("kochi"), c.In("tvm")
-	cluster.Cut(tvm, c.Platform)
-	cluster.Cut(tvm, cluster.Processes(kochi)...)
-	cluster.Cut(kochi, cluster.Processes(tvm)...)
+	kochi, tvm := c.EntriesIn("kochi"), c.EntriesIn("tvm")
+	cluster.Partition(tvm, c.Platform)
+	cluster.Partition(tvm, cluster.Processes(kochi)...)
+	cluster.Partition(kochi, cluster.Processes(tvm)...)
 	revision := c.Submit(kochi[0], strings.Replace(template(1), "deadline = 30s", "deadline = 26s", 1), 1)
 	c.Eventually("kochi has applied the change", func() bool {
 		s, ok := kochi[1].Status()
@@ -204,7 +204,7 @@
 	t.Parallel()
 	c := start(t, 4, 1, "-token-time", "15ms")
 	e := c.Controller("kochi")
-	var answers []chan cluster.Answer
+	var answers []chan cluster.Response
 	for i := range 5 {
 		started, answer := startStream(e, cluster.Chat(walletKey, fmt.Sprintf("stop %d", i), 200))
 		<-started
@@ -215,7 +215,7 @@
 		assertComplete(t, <-answer, fmt.Sprintf("stop %d", i), 200)
 	}
 	require.NoError(t, <-stopped)
-	for _, other := range c.In("kochi") {
+	for _, other := range c.EntriesIn("kochi") {
 		if other == e {
 			continue
 		}
@@ -232,10 +232,10 @@
 	t.Parallel()
 	c := start(t, 4, 1)
 	c.Kill(member(c, c.Groups("tvm")[0], 0))
-	e := c.In("tvm")[0]
-	c.Eventually("the group is out of service", func() bool { return len(e.Serving("wallet")) == 0 })
+	e := c.EntriesIn("tvm")[0]
+	c.Eventually("the group is out of service", func() bool { return len(e.ServingGroups("wallet")) == 0 })
 	c.Eventually("the other data centre serves a request", func() bool {
-		return e.Send(cluster.Chat(walletKey, "forwarded", 8)).Whole
+		return e.Send(cluster.Chat(walletKey, "forwarded", 8)).Complete
 	})
 	for i := range 5 {
 		prompt := fmt.Sprintf("forwarded %d", i)
@@ -248,24 +248,24 @@
 func TestEntry_IsolatedFromEndpoints(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
-	e := c.In("kochi")[0]
+	e := c.EntriesIn("kochi")[0]
 	var endpoints []*cluster.Process
 	for i := 1; i <= 5; i++ {
 		endpoints = append(endpoints, c.Endpoints[fmt.Sprintf("kochi-rack-%d", i)])
 	}
 	for _, p := range endpoints {
-		p.Proxy.Set(e.Source, faultproxy.Fault{HoldUp: true})
+		p.Proxy.SetFault(e.Source, faultproxy.Fault{StallUpstream: true})
 	}
 	group := c.Groups("kochi")[0]
-	other := c.In("kochi")[1]
+	other := c.EntriesIn("kochi")[1]
 	assertComplete(t, other.Send(cluster.Chat(walletKey, "through the other", 8)), "through the other", 8)
 	require.Equal(t, group.Generation, c.Groups("kochi")[0].Generation)
 	for _, p := range endpoints {
-		p.Proxy.Heal()
+		p.Proxy.ClearFaults()
 	}
 	c.Eventually("the isolated entry instance serves again", func() bool {
 		a := e.Send(cluster.Chat(walletKey, "healed", 4))
-		return a.Whole
+		return a.Complete
 	})
 }
 
@@ -274,26 +274,26 @@
 // effect.
 func TestController_OneWayPartitionFromTable(t *testing.T) {
 	for name, fault := range map[string]faultproxy.Fault{
-		"requests lost":  {HoldUp: true},
-		"responses lost": {HoldDown: true},
+		"requests lost":  {StallUpstream: true},
+		"responses lost": {StallDownstream: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := start(t, 5, 1)
 			old := c.Controller("kochi")
-			other := c.Others(old)[0]
+			other := c.OtherEntries(old)[0]
 			before := c.Groups("kochi")[0]
-			c.Platform.Proxy.Set(old.Source, fault)
+			c.Platform.Proxy.SetFault(old.Source, fault)
 			c.Kill(member(c, before, 1))
 			c.Eventually("another repairs the group", func() bool {
-				groups := other.Serving("wallet")
+				groups := other.ServingGroups("wallet")
 				return len(groups) == 1 && groups[0].Generation > before.Generation
 			})
 			c.Eventually("the partitioned controller gets the repair from its peer", func() bool {
-				groups := old.Serving("wallet")
+				groups := old.ServingGroups("wallet")
 				return len(groups) == 1 && groups[0].Generation > before.Generation
 			})
-			c.Platform.Proxy.Heal()
+			c.Platform.Proxy.ClearFaults()
 			c.Eventually("it accepts the new controller", func() bool {
 				s, ok := old.Status()
 				return ok && s.Controller == other.Name
@@ -308,17 +308,17 @@
 func TestEntry_OneWayPartitionBetweenPeers(t *testing.T) {
 	t.Parallel()
 	c := start(t, 5, 1)
-	a, b := c.In("kochi")[0], c.In("kochi")[1]
-	a.Proxy.Set(b.Source, faultproxy.Fault{HoldDown: true})
+	a, b := c.EntriesIn("kochi")[0], c.EntriesIn("kochi")[1]
+	a.Proxy.SetFault(b.Source, faultproxy.Fault{StallDownstream: true})
 	before := c.Groups("kochi")[0]
 	c.Kill(member(c, before, 2))
 	for _, e := range []*cluster.Entry{a, b} {
 		c.Eventually("the repaired group serves at "+e.Name, func() bool {
-			groups := e.Serving("wallet")
+			groups := e.ServingGroups("wallet")
 			return len(groups) == 1 && groups[0].Generation > before.Generation
 		})
 		assertComplete(t, e.Send(cluster.Chat(walletKey, "one-way partition", 8)), "one-way partition", 8)
 	}
-	a.Proxy.Heal()
+	a.Proxy.ClearFaults()
 	require.Len(t, c.Groups("kochi"), 1)
 }
--- a/lab/integration/integration_test.go
+++ b/lab/integration/integration_test.go
@@ -108,7 +108,7 @@
 		answer := e.Send(cluster.Chat(walletKey, prompt, 24))
 		require.NoError(t, answer.Err)
 		require.Equal(t, 200, answer.Status, answer.Body)
-		require.True(t, answer.Whole, answer.Body)
-		require.Equal(t, cluster.Want(prompt, 24), answer.Text)
+		require.True(t, answer.Complete, answer.Body)
+		require.Equal(t, cluster.ExpectedText(prompt, 24), answer.Text)
 	}
 }
--- a/lab/integration/members_test.go
+++ b/lab/integration/members_test.go
@@ -18,9 +18,9 @@
 }
 
 // startStream sends a streaming call in the background; started is closed at the first token.
-func startStream(e *cluster.Entry, call cluster.Call) (started chan struct{}, answer chan cluster.Answer) {
+func startStream(e *cluster.Entry, call cluster.Call) (started chan struct{}, answer chan cluster.Response) {
 	started = make(chan struct{})
-	answer = make(chan cluster.Answer, 1)
+	answer = make(chan cluster.Response, 1)
 	var once sync.Once
 	go func() {
 		answer <- e.SendContext(bg, call, func(string) { once.Do(func() { close(started) }) })
@@ -29,12 +29,12 @@
 }
 
 // assertComplete checks that an answer is the complete response to the prompt.
-func assertComplete(t *testing.T, a cluster.Answer, prompt string, tokens int) {
+func assertComplete(t *testing.T, a cluster.Response, prompt string, tokens int) {
 	t.Helper()
 	require.NoError(t, a.Err)
 	require.Equal(t, 200, a.Status, a.Body)
-	assert.True(t, a.Whole, "the stream is incomplete: %s", a.Body)
-	assert.Equal(t, cluster.Want(prompt, tokens), a.Text)
+	assert.True(t, a.Complete, "the stream is incomplete: %s", a.Body)
+	assert.Equal(t, cluster.ExpectedText(prompt, tokens), a.Text)
 }
 
 // When a member crashes or freezes, the group is repaired with a spare and streams in flight
@@ -61,7 +61,7 @@
 			victim := member(c, before, fault.rank)
 			fault.harm(c, victim)
 			c.Eventually("the group is repaired", func() bool {
-				groups := e.Serving("wallet")
+				groups := e.ServingGroups("wallet")
 				return len(groups) == 1 && groups[0].Generation > before.Generation &&
 					!groups[0].Has(fleet.InstanceID(victim.Name))
 			})
@@ -80,7 +80,7 @@
 	victim := member(c, before, 1)
 	c.Freeze(victim)
 	c.Eventually("the group is repaired", func() bool {
-		groups := c.Entries[0].Serving("wallet")
+		groups := c.Entries[0].ServingGroups("wallet")
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
 	c.Thaw(victim)
@@ -103,7 +103,7 @@
 	c.Kill(victim)
 	c.Restart(victim)
 	c.Eventually("the group is complete with the new incarnation", func() bool {
-		groups := c.Entries[0].Serving("wallet")
+		groups := c.Entries[0].ServingGroups("wallet")
 		return len(groups) == 1 && groups[0].Generation > before.Generation
 	})
 	assertComplete(t, c.Entries[0].Send(cluster.Chat(walletKey, "back", 8)), "back", 8)
@@ -149,14 +149,14 @@
 			started, answer := startStream(e, call)
 			<-started
 			if by == "itself" {
-				c.Leave(leader)
+				c.StartDraining(leader)
 			} else {
 				in := c.Instance(leader.Name)
 				in.Draining = true
 				c.PutInstance(in)
 			}
 			c.Eventually("another group has taken over", func() bool {
-				groups := e.Serving("wallet")
+				groups := e.ServingGroups("wallet")
 				return len(groups) == 1 && groups[0].ID != before.ID
 			})
 			for i := range 10 {
--- a/lab/integration/once_test.go
+++ b/lab/integration/once_test.go
@@ -25,15 +25,15 @@
 
 // assertAtMostOnce checks that a key ran at most once and that the outcome of every answer is
 // accurate. It returns the number of complete answers.
-func assertAtMostOnce(t *testing.T, c *cluster.Cluster, key string, answers []cluster.Answer) (served int) {
+func assertAtMostOnce(t *testing.T, c *cluster.Cluster, key string, answers []cluster.Response) (served int) {
 	t.Helper()
 	runs := c.Runs(key)
 	assert.LessOrEqual(t, runs, 1, key)
 	for _, a := range answers {
-		if a.Whole {
+		if a.Complete {
 			served++
 		}
-		if a.Outcome == "ran" || a.Whole {
+		if a.Outcome == "ran" || a.Complete {
 			assert.Equal(t, 1, runs, "%s: %d %s", key, a.Status, a.Body)
 		}
 	}
@@ -48,7 +48,7 @@
 	c.SetPlatformFaults(platformstandin.Faults{LoseAnswers: 10})
 	for i := range 20 {
 		key := fmt.Sprintf("same-%d", i)
-		answers := make([]cluster.Answer, 2*len(c.Entries))
+		answers := make([]cluster.Response, 2*len(c.Entries))
 		var all sync.WaitGroup
 		for j := range answers {
 			all.Go(func() { answers[j] = c.Entries[j%len(c.Entries)].Send(payoutCall(key)) })
@@ -71,7 +71,7 @@
 	assert.NotEmpty(t, a.RetryAfter)
 	assert.Zero(t, c.Runs("outage"))
 	c.SetPlatformFaults(platformstandin.Faults{})
-	c.Eventually("the same key works again", func() bool { return c.Entries[1].Send(payoutCall("outage")).Whole })
+	c.Eventually("the same key works again", func() bool { return c.Entries[1].Send(payoutCall("outage")).Complete })
 	assert.Equal(t, 1, c.Runs("outage"))
 }
 
@@ -86,7 +86,7 @@
 	attempts := 0
 	c.Eventually("the call goes to the other data centre", func() bool {
 		attempts++
-		return c.Entries[0].Send(payoutCall(fmt.Sprintf("elsewhere-%d", attempts))).Whole
+		return c.Entries[0].Send(payoutCall(fmt.Sprintf("elsewhere-%d", attempts))).Complete
 	})
 	c.Restart(service)
 	c.Eventually("the service endpoint is available", func() bool {
@@ -97,7 +97,7 @@
 	})
 	var all sync.WaitGroup
 	keys := make([]string, 30)
-	first := make([]cluster.Answer, len(keys))
+	first := make([]cluster.Response, len(keys))
 	for i := range keys {
 		keys[i] = fmt.Sprintf("killed-%d", i)
 		all.Go(func() { first[i] = c.Entries[0].Send(payoutCall(keys[i])) })
@@ -106,7 +106,7 @@
 	all.Wait()
 	for i, key := range keys {
 		second := c.Entries[1].Send(payoutCall(key))
-		assertAtMostOnce(t, c, key, []cluster.Answer{first[i], second})
+		assertAtMostOnce(t, c, key, []cluster.Response{first[i], second})
 		if second.Outcome == "not-run" {
 			assert.Zero(t, c.Runs(key))
 		}
@@ -120,7 +120,7 @@
 	c := start(t, 6, 1, "-token-time", "2ms")
 	type sent struct {
 		key    string
-		answer cluster.Answer
+		answer cluster.Response
 	}
 	var mu sync.Mutex
 	var all []sent
@@ -150,17 +150,17 @@
 		if round == 0 {
 			c.Freeze(victim)
 		} else {
-			victim.Proxy.Set(c.In("kochi")[0].Source, silenceBoth)
-			victim.Proxy.Set(c.In("kochi")[1].Source, silenceBoth)
+			victim.Proxy.SetFault(c.EntriesIn("kochi")[0].Source, silenceBoth)
+			victim.Proxy.SetFault(c.EntriesIn("kochi")[1].Source, silenceBoth)
 		}
 		c.Eventually("the group is repaired", func() bool {
-			groups := c.Entries[0].Serving("wallet")
+			groups := c.Entries[0].ServingGroups("wallet")
 			return len(groups) == 1 && groups[0].Generation > before.Generation
 		})
 		if round == 0 {
 			c.Thaw(victim)
 		} else {
-			victim.Proxy.Heal()
+			victim.Proxy.ClearFaults()
 		}
 	}
 	close(stop)
@@ -169,13 +169,13 @@
 	served := 0
 	for _, s := range all {
 		switch {
-		case s.answer.Whole:
+		case s.answer.Complete:
 			served++
-			assert.Equal(t, cluster.Want(s.key, 40), s.answer.Text, s.key)
+			assert.Equal(t, cluster.ExpectedText(s.key, 40), s.answer.Text, s.key)
 		case s.answer.Outcome == "not-run":
 			assert.Zero(t, c.Runs(s.key), s.key)
 		case s.answer.Status == 200:
-			assert.True(t, s.answer.Failed, "a stream ended without an error: %s", s.answer.Body)
+			assert.True(t, s.answer.ErrorEvent, "a stream ended without an error: %s", s.answer.Body)
 		}
 	}
 	t.Logf("%d of %d requests were served completely", served, len(all))
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -59,12 +59,16 @@
 		return func() { r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{Refuse: true}, duration) }
 	case 5:
 		return func() {
-			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{HoldUp: true, HoldDown: true}, duration)
+			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{StallUpstream: true, StallDownstream: true}, duration)
 		}
 	case 6:
-		return func() { r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{HoldDown: true}, duration) }
+		return func() {
+			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{StallDownstream: true}, duration)
+		}
 	case 7:
-		return func() { r.injectProxyFault(proxy, faultproxy.Any, faultproxy.Fault{Delay: duration / 50}, duration) }
+		return func() {
+			r.injectProxyFault(proxy, faultproxy.AnySource, faultproxy.Fault{Delay: duration / 50}, duration)
+		}
 	case 8:
 		// The store is unreachable for one entry instance.
 		return func() {
@@ -103,7 +107,7 @@
 func (r *Run) drawSilence() {
 	proxy := r.proxies[r.silenceRandom.IntN(len(r.proxies))]
 	if r.silenceRandom.IntN(silenceEvery) == 0 {
-		proxy.Silence(faultproxy.Any)
+		proxy.StallOpenConnections(faultproxy.AnySource)
 	}
 }
 
@@ -365,9 +369,9 @@
 }
 
 func (r *Run) injectProxyFault(proxy *faultproxy.Proxy, source netip.Addr, f faultproxy.Fault, duration time.Duration) {
-	proxy.Set(source, f)
+	proxy.SetFault(source, f)
 	time.Sleep(duration)
-	proxy.Set(source, faultproxy.Fault{})
+	proxy.SetFault(source, faultproxy.Fault{})
 }
 
 // injectWorkerFault sets a worker's condition for a time.
@@ -388,7 +392,7 @@
 	r.platform.Table.SetFaults(memtable.Faults{})
 	r.platform.Fleet.SetOrderDelay(func() time.Duration { return 0 })
 	for _, proxy := range r.proxies {
-		proxy.Heal()
+		proxy.ClearFaults()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
