--- a/internal/standin/advisorylog/advisorylog.go
+++ b/internal/standin/advisorylog/advisorylog.go
@@ -16,8 +16,8 @@
 	// is more than Grace after the endpoint's response.
 	MaxRequests int
 	Grace       time.Duration
-	// DrainGrace is how long after a draining mark a caller may send the node a request that still
-	// reaches the endpoint.
+	// DrainGrace is how long after a draining mark a caller may send the node a request that
+	// still reaches the endpoint.
 	DrainGrace time.Duration
 }
 
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -112,7 +112,7 @@
 // checkResponse checks the invariants of every response and reports whether it is a success.
 func (r *Run) checkResponse(response *http.Response, id string) bool {
 	r.count(fmt.Sprint(response.StatusCode))
-	if echo := emulator.Echo(response.Header); response.StatusCode == http.StatusOK && echo != id {
+	if echo := emulator.RequestID(response.Header); response.StatusCode == http.StatusOK && echo != id {
 		r.recordViolation("request %s got the response to %q", id, echo)
 	}
 	switch response.StatusCode {
--- a/lab/soak/configuration.go
+++ b/lab/soak/configuration.go
@@ -65,9 +65,9 @@
 // consumeVersions advances the store's version by writing and removing foreign rows.
 func (r *Run) consumeVersions(times int) {
 	for n := range times {
-		keys, err := r.platform.WriteForeign(fmt.Sprintf("filler-%d-", n))
+		keys, err := r.platform.WriteInvalidRows(fmt.Sprintf("filler-%d-", n))
 		if err == nil {
-			err = r.platform.Remove(keys)
+			err = r.platform.RemoveRows(keys)
 		}
 		if err != nil {
 			r.recordViolation("test harness: %v", err)
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -174,7 +174,7 @@
 	id := r.drawEndpoint(r.advisoryRandom)
 	duration := time.Duration(1000+r.advisoryRandom.IntN(3000)) * time.Millisecond
 	running.Go(func() {
-		r.platform.SetLeavingMark(id, "1")
+		r.platform.SetDrainingMark(id, "1")
 		time.Sleep(duration)
 		r.platform.Crash(id)
 	})
@@ -208,8 +208,8 @@
 // KillAllRepeatedly kills all entry instances at once several times within a window of the retry
 // budget while a share of the responses is truncated, so that many requests are retried.
 func (r *Run) KillAllRepeatedly() {
-	r.platform.SetBreaking(brokenResponseShare)
-	defer r.platform.SetBreaking(0)
+	r.platform.SetBreakShare(brokenResponseShare)
+	defer r.platform.SetBreakShare(0)
 	for range killRounds {
 		time.Sleep(killPause)
 		var killing sync.WaitGroup
@@ -236,7 +236,7 @@
 	// Advisories within the grace are not checked.
 	time.Sleep(advisoryDelay)
 	leaving := r.drawHead("north")
-	r.platform.SetLeavingMark(leaving, "1")
+	r.platform.SetDrainingMark(leaving, "1")
 	time.Sleep(duration - advisoryDelay)
 	for _, id := range limited {
 		r.platform.SetLimit(id, "")
@@ -344,12 +344,12 @@
 
 // writeForeign adds another writer's rows to the table of workers for a time.
 func (r *Run) writeForeign(duration time.Duration) {
-	keys, err := r.platform.WriteForeign("foreign-")
+	keys, err := r.platform.WriteInvalidRows("foreign-")
 	if err != nil {
 		r.recordViolation("test harness: %v", err)
 	}
 	time.Sleep(duration)
-	if err := r.platform.Remove(keys); err != nil {
+	if err := r.platform.RemoveRows(keys); err != nil {
 		r.recordViolation("test harness: %v", err)
 	}
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -258,7 +258,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	violations := append(append([]string{}, r.violations...), r.platform.Fleet.Violations()...)
-	if err := r.platform.RetriesBeyond(retryBudget); err != nil {
+	if err := r.platform.CheckRetryBudget(retryBudget); err != nil {
 		violations = append(violations, err.Error())
 	}
 	if err := r.platform.Crashes.Check(crashBound, r.isFaultFree); err != nil {
