--- a/internal/standin/crashlog/crashlog.go
+++ b/internal/standin/crashlog/crashlog.go
@@ -55,8 +55,8 @@
 	h.crashes = append(h.crashes, at)
 }
 
-// Crashes returns the number of endpoints crashed by requests with this content.
-func (l *Log) Crashes(content string) int {
+// Count returns the number of endpoints crashed by requests with this content.
+func (l *Log) Count(content string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.history(content).crashes)
--- a/internal/standin/crashlog/crashlog_test.go
+++ b/internal/standin/crashlog/crashlog_test.go
@@ -30,6 +30,6 @@
 	l.RecordCrash("b", start)
 	l.RecordCrash("b", start)
 	l.RecordSend("b", third.Add(time.Hour))
-	require.Equal(t, 2, l.Crashes("b"))
-	require.Zero(t, New().Crashes("a"))
+	require.Equal(t, 2, l.Count("b"))
+	require.Zero(t, New().Count("a"))
 }
--- a/lab/integration/control_test.go
+++ b/lab/integration/control_test.go
@@ -20,7 +20,7 @@
 
 var bg = context.Background()
 
-var silenceBoth = faultproxy.Fault{StallUpstream: true, StallDownstream: true}
+var stallBoth = faultproxy.Fault{StallUpstream: true, StallDownstream: true}
 
 func withCancel() (context.Context, context.CancelFunc) { return context.WithCancel(bg) }
 
--- a/lab/integration/once_test.go
+++ b/lab/integration/once_test.go
@@ -150,8 +150,8 @@
 		if round == 0 {
 			c.Freeze(victim)
 		} else {
-			victim.Proxy.SetFault(c.EntriesIn("kochi")[0].Source, silenceBoth)
-			victim.Proxy.SetFault(c.EntriesIn("kochi")[1].Source, silenceBoth)
+			victim.Proxy.SetFault(c.EntriesIn("kochi")[0].Source, stallBoth)
+			victim.Proxy.SetFault(c.EntriesIn("kochi")[1].Source, stallBoth)
 		}
 		c.Eventually("the group is repaired", func() bool {
 			groups := c.Entries[0].ServingGroups("wallet")
