--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -34,7 +34,7 @@
 		return nil, engine.ErrNotRun
 	}
 	invariant.Check(c.parsed.repeatable || !c.mayHaveRun, invariant.AtMostOnce, "request %s, attempt %s", c.id, call.Attempt)
-	invariant.Check(now.Before(target.Until), invariant.GroupWhole, "request %s on group %s", c.id, target.Group)
+	invariant.Check(now.Before(target.Until), invariant.GroupComplete, "request %s on group %s", c.id, target.Group)
 	invariant.Check(!target.Draining, invariant.NoNewWork, "request %s on group %s", c.id, target.Group)
 	c.attempts++
 	response, err := c.g.options.Engine.Do(ctx, call)
@@ -61,7 +61,7 @@
 		Fence:      fleet.Fence{Epoch: target.Epoch, Generation: target.Generation},
 		ResumeFrom: from,
 		Priority:   int(c.parsed.priority),
-		Once:       !c.parsed.repeatable,
+		NoRetry:    !c.parsed.repeatable,
 	})
 	if err != nil {
 		return c.attemptError(ctx, target, attempt, err)
@@ -88,7 +88,7 @@
 		c.checkNext(stream.Next, attempt)
 		if c.emit(event.Content) != nil {
 			c.cancelAttempt(target, attempt)
-			c.outcome = OutcomeClientGone
+			c.outcome = OutcomeCallerGone
 			return attemptAnswered
 		}
 	}
@@ -98,10 +98,10 @@
 // arguments are passed only on failure, to avoid an allocation per token.
 func (c *call) checkNext(next int, attempt string) {
 	if next == len(c.tokens)+1 {
-		invariant.Check(true, invariant.OwnAnswer, "")
+		invariant.Check(true, invariant.OwnResponse, "")
 		return
 	}
-	invariant.Check(false, invariant.OwnAnswer, "request %s, attempt %s: token %d after %d", c.id, attempt, next, len(c.tokens))
+	invariant.Check(false, invariant.OwnResponse, "request %s, attempt %s: token %d after %d", c.id, attempt, next, len(c.tokens))
 }
 
 // attemptError classifies a failed attempt and cancels it at the endpoint. A
@@ -112,7 +112,7 @@
 		c.cancelAttempt(target, attempt)
 	}
 	cause := context.Cause(ctx)
-	if errors.Is(cause, ErrClientGone) || errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
+	if errors.Is(cause, ErrCallerGone) || errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
 		c.failContextDone(ctx)
 		return attemptAnswered
 	}
@@ -184,7 +184,7 @@
 	if len(c.tokens) == 0 {
 		c.class.FirstToken.RecordDuration(now.Sub(c.start))
 	} else {
-		c.class.Between.RecordDuration(now.Sub(c.lastToken))
+		c.class.BetweenTokens.RecordDuration(now.Sub(c.lastToken))
 	}
 	c.lastToken = now
 	c.tokens = append(c.tokens, content)
@@ -300,7 +300,7 @@
 		Body:     c.in.Body,
 		Attempt:  attempt,
 		Priority: int(c.parsed.priority),
-		Once:     !c.parsed.repeatable,
+		NoRetry:  !c.parsed.repeatable,
 	})
 	if err != nil {
 		return c.attemptError(ctx, target, attempt, err)
@@ -325,7 +325,7 @@
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 && c.out.Write(buffer[:n]) != nil {
-			c.outcome = OutcomeClientGone
+			c.outcome = OutcomeCallerGone
 			c.out.Abort()
 			return attemptAnswered
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -73,9 +73,9 @@
 
 func (testWire) Statement(int, http.Header) advisory.Statement { return advisory.Statement{} }
 
-func (testWire) Answer(h http.Header) http.Header { return h.Clone() }
+func (testWire) CallerHeader(h http.Header) http.Header { return h.Clone() }
 
-func (testWire) OwnAnswer(id string, after time.Duration) http.Header {
+func (testWire) LocalResponseHeader(id string, after time.Duration) http.Header {
 	h := http.Header{"Id": {id}}
 	if after > 0 {
 		h.Set("After", after.String())
@@ -235,7 +235,7 @@
 	}
 	pool := directory.Pool{Service: "llm", Model: "m"}
 	for i, e := range heads {
-		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, Pace: 1})
+		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, TimeFactor: 1})
 	}
 	m := metrics.New("n", "north")
 	t.Cleanup(m.Close)
@@ -557,7 +557,7 @@
 	for len(e.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	cancel(httpserver.ErrClientGone)
+	cancel(httpserver.ErrCallerGone)
 	<-disconnected
 	<-done
 	require.True(t, out.aborted)
@@ -624,7 +624,7 @@
 // Rejected requests count towards demand.
 func TestDemand_CountsRejectedRequests(t *testing.T) {
 	fx := newFixture(t, nil, nil)
-	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, Pace: 1}}
+	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, TimeFactor: 1}}
 	in := request(hostStream)
 	in.Header.Set("Prompt", "100000")
 	require.Equal(t, http.StatusServiceUnavailable, fx.serve(in).status)
--- a/internal/standin/fleetstandin/fleetstandin.go
+++ b/internal/standin/fleetstandin/fleetstandin.go
@@ -149,9 +149,9 @@
 	return f
 }
 
-// SetLate leaves orders without a response and applies them after the delay that the function returns,
-// if it is positive.
-func (f *Fleet) SetLate(delay func() time.Duration) {
+// SetOrderDelay leaves orders without a response and applies them after the delay that the
+// function returns, if it is positive.
+func (f *Fleet) SetOrderDelay(delay func() time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orderDelay = delay
@@ -172,27 +172,26 @@
 
 const (
 	// Healthy endpoints respond and are listed.
-	Well Condition = iota
-	// Dark endpoints are terminated and have no row.
-	Dark
-	// CutOff endpoints run, but are isolated: they have no row and controllers cannot reach
-	// them.
-	CutOff
+	Healthy Condition = iota
+	// Terminated endpoints do not run and have no row.
+	Terminated
+	// Isolated endpoints run, but have no row and are unreachable for controllers.
+	Isolated
 	// Unlisted endpoints respond, but have no row.
 	Unlisted
-	// Leaving endpoints advertise that they are draining.
-	Leaving
+	// Draining endpoints advertise that they are draining.
+	Draining
 )
 
-// Set changes the condition of an endpoint.
-func (f *Fleet) Set(id serving.EndpointID, c Condition) {
+// SetCondition changes the condition of an endpoint.
+func (f *Fleet) SetCondition(id serving.EndpointID, c Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[id]
-	e.terminated = c == Dark
-	e.unreachable = c == Dark || c == CutOff
-	e.unlisted = c == Dark || c == CutOff || c == Unlisted
-	e.Draining = c == Leaving
+	e.terminated = c == Terminated
+	e.unreachable = c == Terminated || c == Isolated
+	e.unlisted = c == Terminated || c == Isolated || c == Unlisted
+	e.Draining = c == Draining
 	if e.unlisted {
 		f.commit(table.Change{Removals: []table.Row{{Table: f.endpointTable, Key: string(id)}}})
 		return
@@ -234,8 +233,8 @@
 // nextStart returns a start time later than that of the previous incarnation.
 func (f *Fleet) nextStart(before int64) int64 { return max(before+1, time.Now().UnixMilli()) }
 
-// Broken returns the violated invariants in the order of their detection.
-func (f *Fleet) Broken() []string {
+// Violations returns the violated invariants in the order of their detection.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
@@ -262,8 +261,8 @@
 	return f.joinLoads
 }
 
-// Refused returns the number of orders that were rejected in a response.
-func (f *Fleet) Refused() int {
+// RejectedOrders returns the number of orders that were rejected in a response.
+func (f *Fleet) RejectedOrders() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rejectedOrders
@@ -325,9 +324,9 @@
 	f.commit(table.Change{Writes: []table.Row{{Table: f.endpointTable, Key: string(e.ID), Value: f.encode(row)}}})
 }
 
-// WriteAgain makes every running endpoint rewrite its row at a random time within a period, as
+// RewriteRows makes every running endpoint rewrite its row at a random time within a period, as
 // after a restore of the table. The rows of unlisted endpoints are removed.
-func (f *Fleet) WriteAgain(within time.Duration) {
+func (f *Fleet) RewriteRows(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id := range f.endpoints {
@@ -348,7 +347,7 @@
 }
 
 // commit writes to the table regardless of its faults.
-func (f *Fleet) commit(c table.Change) { _ = f.table.Force(c) }
+func (f *Fleet) commit(c table.Change) { _ = f.table.CommitIgnoringFaults(c) }
 
 // Report implements groupcontrol.Endpoints.
 func (f *Fleet) Report(ctx context.Context, _ string, id serving.EndpointID) (serving.Report, error) {
@@ -357,7 +356,7 @@
 	if e == nil || e.unreachable {
 		f.mu.Unlock()
 		<-ctx.Done()
-		return serving.Report{}, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
+		return serving.Report{}, errors.Join(groupcontrol.ErrNoResponse, ctx.Err())
 	}
 	defer f.mu.Unlock()
 	f.reports++
@@ -379,7 +378,7 @@
 	if e == nil || e.unreachable {
 		f.mu.Unlock()
 		<-ctx.Done()
-		return false, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
+		return false, errors.Join(groupcontrol.ErrNoResponse, ctx.Err())
 	}
 	if delay > 0 {
 		f.mu.Unlock()
@@ -389,7 +388,7 @@
 			_, _ = f.handleOrder(e, o)
 		})
 		<-ctx.Done()
-		return false, errors.Join(groupcontrol.ErrNoAnswer, ctx.Err())
+		return false, errors.Join(groupcontrol.ErrNoResponse, ctx.Err())
 	}
 	defer f.mu.Unlock()
 	done, err := f.handleOrder(e, o)
@@ -406,7 +405,7 @@
 		return false, groupcontrol.ErrFenced
 	}
 	if o.Expected != e.orders {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	e.fence = o.Fence
 	switch o.Kind {
@@ -419,7 +418,7 @@
 	case serving.OrderStage:
 		return f.stage(e, o)
 	}
-	return false, groupcontrol.ErrRefused
+	return false, groupcontrol.ErrRejected
 }
 
 func (f *Fleet) join(e *Endpoint, o serving.Order) (bool, error) {
@@ -497,13 +496,13 @@
 
 func (f *Fleet) open(e *Endpoint, o serving.Order) (bool, error) {
 	if e.group.Group != o.Group || e.group.Epoch != o.Epoch || e.group.Rank != 0 {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	if e.group.State == serving.MemberOpen {
 		return true, nil
 	}
 	if e.group.State != serving.MemberReady {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	for _, id := range e.group.members {
 		if !f.everReady[memberKey{o.Group, o.Epoch, id}] {
@@ -528,7 +527,7 @@
 
 func (f *Fleet) leave(e *Endpoint, o serving.Order) (bool, error) {
 	if e.group.Group != o.Group || e.group.Epoch != o.Epoch {
-		return false, groupcontrol.ErrRefused
+		return false, groupcontrol.ErrRejected
 	}
 	e.orders++
 	f.recordLeave(e)
