--- a/internal/directory/configuration.go
+++ b/internal/directory/configuration.go
@@ -23,7 +23,7 @@
 	d.configurationAnsweredAt = now
 }
 
-// LastConfigurationAnswer returns when the store last answered this node about the configuration,
+// LastConfigurationAnswer returns when the store last completed a call for the configuration,
 // or when the node started. It does not advance on a node that relies on its relay node for the
 // configuration.
 func (d *Directory) LastConfigurationAnswer() time.Time {
@@ -48,7 +48,7 @@
 	if d.configuration != nil && c.Version <= d.configuration.Version {
 		return
 	}
-	invariant.Check(d.configuration == nil || c.Version > d.configuration.Version, invariant.Forward, "configuration %d", c.Version)
+	invariant.Check(d.configuration == nil || c.Version > d.configuration.Version, invariant.Monotonic, "configuration %d", c.Version)
 	d.configuration = c
 	d.configurationRow = bytes.Clone(value)
 	d.log.Info("applied configuration", "version", c.Version, "source", source, "routes", len(c.Routes))
--- a/internal/gossip/quarantinetable_test.go
+++ b/internal/gossip/quarantinetable_test.go
@@ -179,7 +179,7 @@
 		{Table: QuarantineTable, Key: fingerprintOf(8).String(), Value: []byte(`{"ends":"all"}`)},
 		{Table: QuarantineTable, Key: fingerprintOf(9).String(), Value: nil},
 	}
-	require.NoError(t, store.Force(table.Change{Writes: rows}))
+	require.NoError(t, store.CommitIgnoringFaults(table.Change{Writes: rows}))
 	after := newTestTable(store, true)
 	after.run(t.Context(), time.Second)
 	require.Equal(t, 1, after.blocked())
@@ -191,8 +191,8 @@
 	require.Equal(t, 2, again.blocked())
 }
 
-// Guards the size of a row.
-func TestQuarantineTable_BytesOfARow(t *testing.T) {
+// Guards against rows of more than 128 bytes with their key.
+func TestQuarantineTable_BoundsRowBytes(t *testing.T) {
 	row, err := json.Marshal(quarantineRow{Ends: []qlist.Incarnation{1 << 63, 1<<63 + 1, 1<<63 + 2}})
 	require.NoError(t, err)
 	rowBytes := len(row) + len(fingerprintOf(1).String())
--- a/internal/groupcontrol/plan.go
+++ b/internal/groupcontrol/plan.go
@@ -43,7 +43,7 @@
 	staging map[serving.EndpointID]string
 	// groups are the open groups without a fault.
 	groups []*group
-	// reserved domains keep their free endpoints for a model in favour of which groups were
+	// reserved domains keep their free endpoints for a model for which other groups were
 	// dissolved.
 	reserved map[string]string
 	// growing domains have had a new endpoint recently and may get more soon.
@@ -198,7 +198,7 @@
 			warm = warm[model.Size:]
 			out = append(out, formation{s.service, model, members})
 			free.remove(members)
-			s.count(members[0].Domain, model.Name, float64(model.Size)/max(1, s.engine.FarFactor))
+			s.count(members[0].Domain, model.Name, float64(model.Size)/max(1, s.engine.CrossDomainFactor))
 		}
 	}
 	return out
@@ -207,7 +207,7 @@
 // staysNeediest reports whether a model would remain the neediest even with one more group
 // across domains. Otherwise the members are more useful as spares.
 func (s *situation) staysNeediest(model serving.Model) bool {
-	extended := s.coverageWith(model, float64(model.Size)/max(1, s.engine.FarFactor))
+	extended := s.coverageWith(model, float64(model.Size)/max(1, s.engine.CrossDomainFactor))
 	for _, other := range s.engine.Models {
 		if other.Name != model.Name && s.coverage(other) < extended {
 			return false
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -19,7 +19,7 @@
 type result uint8
 
 const (
-	// resultDone: the client has its final response, or has disconnected.
+	// resultDone: the caller has its final response, or has disconnected.
 	resultDone result = iota
 	// resultNotRun: the endpoint certainly did not run the request.
 	resultNotRun
@@ -53,9 +53,9 @@
 			LastEvent: c.lastEvent,
 			Urgent:    c.attempts > 0,
 		}),
-		Body:  c.in.Body,
-		Fresh: c.attempts > 0 || !c.route.Repeatable() && c.options.Balancer.isFailing(t.Endpoint, now),
-		Gate:  func() error { return c.gate(t) },
+		Body:          c.in.Body,
+		NewConnection: c.attempts > 0 || !c.route.Repeatable() && c.options.Balancer.isFailing(t.Endpoint, now),
+		BeforeSend:    func() error { return c.checkBeforeSend(t) },
 	}, func(h http.Header) bool { return c.options.Wire.Verdict(h).ID == c.attrs.ID })
 	if errors.Is(err, upstream.ErrNotSent) {
 		return c.handleNotSent(ctx, t, err)
@@ -78,9 +78,10 @@
 
 const errQuarantined holdError = "request is quarantined"
 
-// gate is the last check before the first byte of a request is sent. The endpoint may have asked
-// for a cooldown or started draining while the request waited for a permit or a connection.
-func (c *call) gate(t target) error {
+// checkBeforeSend is the last check before the first byte of a request is sent. The endpoint may
+// have asked for a cooldown or started draining while the request waited for a permit or a
+// connection.
+func (c *call) checkBeforeSend(t target) error {
 	now := time.Now()
 	hold := c.options.Throttle.Hold(t.Endpoint, now)
 	if hold == throttle.HoldDraining || hold == throttle.HoldCooldown {
@@ -105,7 +106,7 @@
 	return c.finishIfDone(ctx, resultNotRun)
 }
 
-// recordFailure counts an incomplete attempt as a failure of its endpoint, unless the client, the
+// recordFailure counts an incomplete attempt as a failure of its endpoint, unless the caller, the
 // deadline or the stall detector cancelled it. It also starts a crash probe, since the request
 // itself may have crashed the endpoint.
 func (c *call) recordFailure(ctx context.Context, t target, active *activeRequest) {
@@ -222,7 +223,7 @@
 
 // requestStallAfter is how long a stream may receive nothing from an endpoint that sends events to
 // other requests before it is resumed elsewhere: its connection may be dead without a reset. It is
-// below the two seconds after which clients give up.
+// below the two seconds after which callers give up.
 const requestStallAfter = 1500 * time.Millisecond
 
 // stallAfter returns how long an endpoint may be silent on all requests.
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -15,7 +15,7 @@
 
 // denyPermits denies every request for a permit.
 func denyPermits(wait time.Duration) throttle.Options {
-	return throttle.Options{Ask: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
+	return throttle.Options{RequestPermit: func(context.Context, *serving.Endpoint, advisory.RateLimit) (throttle.Permit, error) {
 		return throttle.Permit{Wait: wait}, nil
 	}}
 }
@@ -104,8 +104,8 @@
 		"changed":                                {answer: advisory.Advertised[float64]{Value: 2}, before: 5, signed: true, status: 200, want: 2},
 		"withdrawn":                              {before: 5, signed: true, status: 200},
 		"not advertised by another endpoint":     {before: 5, notRun: true, status: 421, want: 5},
-		"unreadable keeps the limit":             {answer: advisory.Advertised[float64]{Unreadable: "few"}, before: 5, signed: true, status: 200, want: 5},
-		"unreadable sets no limit":               {answer: advisory.Advertised[float64]{Unreadable: "few"}, signed: true, status: 200},
+		"unreadable keeps the limit":             {answer: advisory.Advertised[float64]{InvalidValue: "few"}, before: 5, signed: true, status: 200, want: 5},
+		"unreadable sets no limit":               {answer: advisory.Advertised[float64]{InvalidValue: "few"}, signed: true, status: 200},
 		"not advertised by a failure":            {before: 5, signed: true, status: 500},
 		"not advertised by a rejection":          {before: 5, notRun: true, status: 503},
 		"not advertised by an unsigned response": {before: 5, status: 200, want: 5},
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -73,9 +73,9 @@
 
 func (testWire) Statement(int, http.Header) advisory.Statement { return advisory.Statement{} }
 
-func (testWire) Answer(h http.Header) http.Header { return h.Clone() }
+func (testWire) CallerHeader(h http.Header) http.Header { return h.Clone() }
 
-func (testWire) OwnAnswer(id string, after time.Duration) http.Header {
+func (testWire) LocalResponseHeader(id string, after time.Duration) http.Header {
 	h := http.Header{"Id": {id}}
 	if after > 0 {
 		h.Set("After", after.String())
@@ -197,7 +197,7 @@
 	_ = c.Close()
 }
 
-// stall sends nothing until the client closes the connection.
+// stall sends nothing until the caller closes the connection.
 func stall(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }
 
 // fixture is a relay with its endpoints.
@@ -235,7 +235,7 @@
 	}
 	pool := directory.Pool{Service: "llm", Model: "m"}
 	for i, e := range heads {
-		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, Pace: 1})
+		fx.view.Heads[pool] = append(fx.view.Heads[pool], &directory.Head{Endpoint: fx.endpoint(fmt.Sprintf("h%d", i), e), Engine: engine, TimeFactor: 1})
 	}
 	m := metrics.New("n", "north")
 	t.Cleanup(m.Close)
@@ -460,7 +460,7 @@
 		second script
 		status int
 		body   string
-		// complete is whether the response looks complete to the client.
+		// complete is whether the response looks complete to the caller.
 		complete bool
 		arrivals int
 		// last is the event after which the second attempt resumes.
@@ -540,7 +540,7 @@
 	require.True(t, out.ended)
 }
 
-func TestServe_ClientDisconnectCancelsAttempt(t *testing.T) {
+func TestServe_CallerDisconnectCancelsAttempt(t *testing.T) {
 	disconnected := make(chan struct{})
 	e := newEndpoint(t, events(1, 1, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 1))
@@ -557,7 +557,7 @@
 	for len(e.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	cancel(httpserver.ErrClientGone)
+	cancel(httpserver.ErrCallerGone)
 	<-disconnected
 	<-done
 	require.True(t, out.aborted)
@@ -583,7 +583,7 @@
 	}
 }
 
-// Guards against an attempt that its client can't wait for.
+// Guards against an attempt that its caller can't wait for.
 func TestServe_SendsNothingNearDeadline(t *testing.T) {
 	e := newEndpoint(t, events(1, 5, endStream))
 	fx := newFixture(t, nil, []*endpoint{e})
@@ -624,7 +624,7 @@
 // Rejected requests count towards demand.
 func TestDemand_CountsRejectedRequests(t *testing.T) {
 	fx := newFixture(t, nil, nil)
-	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, Pace: 1}}
+	fx.view.Configuration.Services["llm"].Engine.Models = []serving.Model{{Name: "m", Size: 1, TimeFactor: 1}}
 	in := request(hostStream)
 	in.Header.Set("Prompt", "100000")
 	require.Equal(t, http.StatusServiceUnavailable, fx.serve(in).status)
@@ -663,7 +663,7 @@
 	require.Empty(t, fx.relay.options.Balancer.Suspects(time.Now()))
 }
 
-// A client's deadline passes while the machine is suspended; the monotonic clock does not show it.
+// A caller's deadline passes while the machine is suspended; the monotonic clock does not show it.
 // The request must not be retried.
 func TestServe_SuspensionCountsTowardsDeadline(t *testing.T) {
 	var suspended atomic.Int64
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -35,17 +35,17 @@
 			return resultIncomplete
 		}
 		if !c.relayEvent(t, e, response.Header, now) {
-			c.outcome = outcomeClientGone
+			c.outcome = outcomeCallerGone
 			c.out.Abort()
 			return resultDone
 		}
 	}
 }
 
-// relayEvent relays one event; it returns false if the client has disconnected.
+// relayEvent relays one event; it returns false if the caller has disconnected.
 func (c *call) relayEvent(t target, e event, header http.Header, now time.Time) bool {
 	if !c.responseStarted {
-		answer := c.options.Wire.Answer(header)
+		answer := c.options.Wire.CallerHeader(header)
 		delete(answer, "Content-Length")
 		c.class.FirstToken.RecordDuration(now.Sub(c.start))
 		if c.attempts == 1 {
--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -112,7 +112,7 @@
 // checkResponse checks the invariants of every response and reports whether it is a success.
 func (r *Run) checkResponse(response *http.Response, id string) bool {
 	r.count(fmt.Sprint(response.StatusCode))
-	if echo := emulator.Echo(response.Header); response.StatusCode == http.StatusOK && echo != id {
+	if echo := emulator.RequestID(response.Header); response.StatusCode == http.StatusOK && echo != id {
 		r.recordViolation("request %s got the response to %q", id, echo)
 	}
 	switch response.StatusCode {
@@ -133,7 +133,7 @@
 		r.recordViolation("request %s ran %d times", id, runs)
 	}
 	if response == nil {
-		r.count("no answer")
+		r.count("no response")
 		return false
 	}
 	ok := r.checkResponse(response, id)
@@ -148,7 +148,7 @@
 func (r *Run) callModel(client *http.Client, p *process, id string) {
 	response, body, err := r.sendDefault(client, p, emulator.ModelHost, id)
 	if response == nil {
-		r.count("no answer")
+		r.count("no response")
 		return
 	}
 	if !r.checkResponse(response, id) {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -14,7 +14,7 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// silentStore makes the store never answer the calls that reach it during the fault.
+// silentStore makes the store never respond to the calls that reach it during the fault.
 var silentStore = memtable.Faults{Silent: true}
 
 // InjectFaults injects the run's faults, which overlap, waits until they have ended and removes
@@ -59,23 +59,27 @@
 		return func() { r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{Refuse: true}, duration) }
 	case 5:
 		return func() {
-			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{HoldUp: true, HoldDown: true}, duration)
+			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{StallUpstream: true, StallDownstream: true}, duration)
 		}
 	case 6:
-		return func() { r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{HoldDown: true}, duration) }
+		return func() {
+			r.injectProxyFault(proxy, entry.sourceAddress, faultproxy.Fault{StallDownstream: true}, duration)
+		}
 	case 7:
-		return func() { r.injectProxyFault(proxy, faultproxy.Any, faultproxy.Fault{Delay: duration / 50}, duration) }
+		return func() {
+			r.injectProxyFault(proxy, faultproxy.AnySource, faultproxy.Fault{Delay: duration / 50}, duration)
+		}
 	case 8:
 		// The store is unreachable for one entry instance.
 		return func() {
 			r.injectProxyFault(r.proxies[0], entry.sourceAddress, faultproxy.Fault{Refuse: true}, 2*duration)
 		}
 	case 9:
-		faults := []memtable.Faults{{Down: true}, silentStore, {LoseAnswers: true}, {LoseAnswers: true, Late: duration / 4}}
+		faults := []memtable.Faults{{Down: true}, silentStore, {LoseAnswers: true}, {LoseAnswers: true, ApplyDelay: duration / 4}}
 		chosen := faults[r.random.IntN(len(faults))]
 		return func() { r.injectStoreFault(chosen, duration) }
 	case 10:
-		return r.platform.Table.ForgetHistory
+		return r.platform.Table.CompactHistory
 	case 11:
 		return func() { r.configure(); r.configure() }
 	case 12:
@@ -85,14 +89,14 @@
 	case 14:
 		return func() { r.writeForeign(duration) }
 	case 15:
-		condition := []fleetstandin.Condition{fleetstandin.Dark, fleetstandin.Unlisted, fleetstandin.CutOff}[r.random.IntN(3)]
+		condition := []fleetstandin.Condition{fleetstandin.Terminated, fleetstandin.Unlisted, fleetstandin.Isolated}[r.random.IntN(3)]
 		return func() { r.injectWorkerFault(worker, condition, 2*duration) }
 	}
 	late := duration / 3
 	return func() {
-		r.platform.Fleet.SetLate(func() time.Duration { return late })
+		r.platform.Fleet.SetOrderDelay(func() time.Duration { return late })
 		time.Sleep(duration)
-		r.platform.Fleet.SetLate(func() time.Duration { return 0 })
+		r.platform.Fleet.SetOrderDelay(func() time.Duration { return 0 })
 	}
 }
 
@@ -103,7 +107,7 @@
 func (r *Run) drawSilence() {
 	proxy := r.proxies[r.silenceRandom.IntN(len(r.proxies))]
 	if r.silenceRandom.IntN(silenceEvery) == 0 {
-		proxy.Silence(faultproxy.Any)
+		proxy.StallOpenConnections(faultproxy.AnySource)
 	}
 }
 
@@ -170,7 +174,7 @@
 	id := r.drawEndpoint(r.advisoryRandom)
 	duration := time.Duration(1000+r.advisoryRandom.IntN(3000)) * time.Millisecond
 	running.Go(func() {
-		r.platform.SetLeavingMark(id, "1")
+		r.platform.SetDrainingMark(id, "1")
 		time.Sleep(duration)
 		r.platform.Crash(id)
 	})
@@ -204,8 +208,8 @@
 // KillAllRepeatedly kills all entry instances at once several times within a window of the retry
 // budget while a share of the responses is truncated, so that many requests are retried.
 func (r *Run) KillAllRepeatedly() {
-	r.platform.SetBreaking(brokenResponseShare)
-	defer r.platform.SetBreaking(0)
+	r.platform.SetBreakShare(brokenResponseShare)
+	defer r.platform.SetBreakShare(0)
 	for range killRounds {
 		time.Sleep(killPause)
 		var killing sync.WaitGroup
@@ -232,7 +236,7 @@
 	// Advisories within the grace are not checked.
 	time.Sleep(advisoryDelay)
 	leaving := r.drawHead("north")
-	r.platform.SetLeavingMark(leaving, "1")
+	r.platform.SetDrainingMark(leaving, "1")
 	time.Sleep(duration - advisoryDelay)
 	for _, id := range limited {
 		r.platform.SetLimit(id, "")
@@ -340,12 +344,12 @@
 
 // writeForeign adds another writer's rows to the table of workers for a time.
 func (r *Run) writeForeign(duration time.Duration) {
-	keys, err := r.platform.WriteForeign("foreign-")
+	keys, err := r.platform.WriteInvalidRows("foreign-")
 	if err != nil {
 		r.recordViolation("test harness: %v", err)
 	}
 	time.Sleep(duration)
-	if err := r.platform.Remove(keys); err != nil {
+	if err := r.platform.RemoveRows(keys); err != nil {
 		r.recordViolation("test harness: %v", err)
 	}
 }
@@ -365,16 +369,16 @@
 }
 
 func (r *Run) injectProxyFault(proxy *faultproxy.Proxy, source netip.Addr, f faultproxy.Fault, duration time.Duration) {
-	proxy.Set(source, f)
+	proxy.SetFault(source, f)
 	time.Sleep(duration)
-	proxy.Set(source, faultproxy.Fault{})
+	proxy.SetFault(source, faultproxy.Fault{})
 }
 
 // injectWorkerFault sets a worker's condition for a time.
 func (r *Run) injectWorkerFault(id serving.EndpointID, condition fleetstandin.Condition, duration time.Duration) {
-	r.platform.Fleet.Set(id, condition)
+	r.platform.Fleet.SetCondition(id, condition)
 	time.Sleep(duration)
-	r.platform.Fleet.Set(id, fleetstandin.Well)
+	r.platform.Fleet.SetCondition(id, fleetstandin.Healthy)
 }
 
 func (r *Run) injectStoreFault(f memtable.Faults, duration time.Duration) {
@@ -386,9 +390,9 @@
 // heal removes all faults of the store, the fleet and the proxies.
 func (r *Run) heal() {
 	r.platform.Table.SetFaults(memtable.Faults{})
-	r.platform.Fleet.SetLate(func() time.Duration { return 0 })
+	r.platform.Fleet.SetOrderDelay(func() time.Duration { return 0 })
 	for _, proxy := range r.proxies {
-		proxy.Heal()
+		proxy.ClearFaults()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -6,7 +6,7 @@
 //
 //   - Proxies delay, reset, cut or silence connections to the store and to endpoints.
 //   - Entry instances are paused, killed, terminated, reloaded and suspended.
-//   - The store rejects calls, stops answering, loses responses, applies writes late, discards
+//   - The store rejects calls, stops responding, loses responses, applies writes late, discards
 //     its history and is restored from an older copy.
 //   - Endpoints terminate, lose their rows, apply unanswered orders late, and crash and restart
 //     under their IDs, by themselves and because of repeated requests.
@@ -71,7 +71,7 @@
 
 // crashBound limits the sends of a request that crashes endpoints, when there has been no fault
 // for the grace.
-var crashBound = crashlog.Bound{Ends: 3, Sends: 3, Grace: 3 * time.Second}
+var crashBound = crashlog.Bound{Crashes: 3, MaxSends: 3, Grace: 3 * time.Second}
 
 // retryBudget is the budget of all entry instances together. The slack dominates, so that
 // incarnations that each use their own share of it would exceed the budget.
@@ -81,7 +81,7 @@
 var limitBound = limitlog.Bound{Factor: 1.5, Slack: 5, Window: 4 * time.Second, Grace: 3 * time.Second}
 
 // advisoryBound limits the requests to an endpoint that advertises a cooldown or draining.
-var advisoryBound = advisorylog.Bound{Requests: 2, Grace: 500 * time.Millisecond, Drain: 2 * time.Second}
+var advisoryBound = advisorylog.Bound{MaxRequests: 2, Grace: 500 * time.Millisecond, DrainGrace: 2 * time.Second}
 
 // process is an entry instance.
 type process struct {
@@ -257,8 +257,8 @@
 func (r *Run) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	violations := append(append([]string{}, r.violations...), r.platform.Fleet.Broken()...)
-	if err := r.platform.RetriesBeyond(retryBudget); err != nil {
+	violations := append(append([]string{}, r.violations...), r.platform.Fleet.Violations()...)
+	if err := r.platform.CheckRetryBudget(retryBudget); err != nil {
 		violations = append(violations, err.Error())
 	}
 	if err := r.platform.Crashes.Check(crashBound, r.isFaultFree); err != nil {
