--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -180,7 +180,7 @@
 		}
 		c.fail(errorResponse{http.StatusConflict, "already_claimed", "a request with this key was accepted before and may have run; it is not run again", outcome, 0})
 	default:
-		c.fail(errorResponse{http.StatusServiceUnavailable, "claim_unavailable", "the platform's table does not respond, so the request cannot be claimed", OutcomeNotRun, claimRetryAfter})
+		c.fail(errorResponse{http.StatusServiceUnavailable, "claim_unavailable", "the platform's table does not respond, so the request cannot be guaranteed to run only once", OutcomeNotRun, claimRetryAfter})
 	}
 	return false
 }
