--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -246,14 +246,14 @@
 	b.ReportMetric(float64(counter.Written.Load()-written)/float64(b.N), "B-written/poll")
 }
 
-// fixedAnswerHandler responds to all exchanges with the same message.
-type fixedAnswerHandler struct{ answer *peers.Message }
+// fixedResponseHandler responds to all exchanges with the same message.
+type fixedResponseHandler struct{ response *peers.Message }
 
-func (h fixedAnswerHandler) Exchange(context.Context, *peers.Message) (*peers.Message, error) {
-	return h.answer, nil
+func (h fixedResponseHandler) Exchange(context.Context, *peers.Message) (*peers.Message, error) {
+	return h.response, nil
 }
 
-func (h fixedAnswerHandler) Forward(*peerpb.ForwardRequest, peerpb.DRPCPeers_ForwardStream) error {
+func (h fixedResponseHandler) Forward(*peerpb.ForwardRequest, peerpb.DRPCPeers_ForwardStream) error {
 	return nil
 }
 
@@ -263,7 +263,7 @@
 	c := newTestDataCentre(3, 18)
 	message := c.loops[0].buildMessage(c.now, c.loops[1].options.Self.ID, 1, 99)
 	key := []byte("0123456789abcdef")
-	server, err := peers.Listen("127.0.0.1:0", key, netlink.New(nil), fixedAnswerHandler{message})
+	server, err := peers.Listen("127.0.0.1:0", key, netlink.New(nil), fixedResponseHandler{message})
 	require.NoError(b, err)
 	defer server.Close()
 	client := peers.NewClient(key, netlink.New(nil))
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -27,12 +27,12 @@
 
 // remote is an entry instance of another data centre.
 type remote struct {
-	node       membership.Node
-	next       time.Time
-	busy       bool
-	lastAnswer time.Time
-	revision   uint64
-	pools      []*peerpb.PoolLoad
+	node           membership.Node
+	next           time.Time
+	busy           bool
+	lastResponseAt time.Time
+	revision       uint64
+	pools          []*peerpb.PoolLoad
 }
 
 // linksPerDataCentre is the number of entry instances of each other data
@@ -319,10 +319,10 @@
 	}
 	heartbeat := e.response.GetBeat()
 	e.remote.revision = heartbeat.GetConfigurationRevision()
-	e.remote.lastAnswer = now
+	e.remote.lastResponseAt = now
 	e.remote.pools = e.response.GetPools()
 	if heartbeat.GetLeaving() {
-		e.remote.lastAnswer = time.Time{}
+		e.remote.lastResponseAt = time.Time{}
 	}
 	l.receiveConfiguration(e.response.GetConfiguration())
 	l.applyQuarantineDelta(now, e.response)
--- a/internal/control/reads.go
+++ b/internal/control/reads.go
@@ -25,8 +25,8 @@
 	behind bool
 	// listVersion is the version of the last instance list.
 	listVersion uint64
-	// lastAnswer is when the table last responded.
-	lastAnswer time.Time
+	// lastResponseAt is when the table last responded.
+	lastResponseAt time.Time
 }
 
 func (l *Loop) readPlatform(now time.Time) {
@@ -115,7 +115,7 @@
 		l.log.Debug("cannot read the platform's table", "error", e.err)
 		return
 	}
-	l.reads.lastAnswer = now
+	l.reads.lastResponseAt = now
 	l.applyConfiguration(e.configuration, "table")
 	l.applyGroups(e.groups)
 	// Peers deliver most changes sooner and at lower cost than a scan.
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -276,7 +276,7 @@
 func (l *Loop) remoteList(now time.Time) []Remote {
 	var out []Remote
 	for _, r := range l.remotes {
-		if now.Sub(r.lastAnswer) > remoteTTL {
+		if now.Sub(r.lastResponseAt) > remoteTTL {
 			continue
 		}
 		pools := map[string]PoolLoad{}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -90,8 +90,8 @@
 		Epoch:         epoch,
 		PlatformAge:   -1,
 	}
-	if !l.reads.lastAnswer.IsZero() {
-		s.PlatformAge = now.Sub(l.reads.lastAnswer).Seconds()
+	if !l.reads.lastResponseAt.IsZero() {
+		s.PlatformAge = now.Sub(l.reads.lastResponseAt).Seconds()
 	}
 	l.addNodes(now, &s)
 	for id, in := range l.instances {
@@ -121,7 +121,7 @@
 		s.Remotes = append(s.Remotes, RemoteStatus{
 			ID:            string(r.node.ID),
 			DataCentre:    r.node.DataCentre,
-			Reachable:     now.Sub(r.lastAnswer) <= remoteTTL,
+			Reachable:     now.Sub(r.lastResponseAt) <= remoteTTL,
 			Configuration: r.revision,
 		})
 	}
--- a/internal/directory/configuration.go
+++ b/internal/directory/configuration.go
@@ -17,19 +17,19 @@
 	return d.configuration.Version, d.configurationRow
 }
 
-func (d *Directory) recordConfigurationAnswer(now time.Time) {
+func (d *Directory) recordConfigurationResponse(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.configurationAnsweredAt = now
+	d.configurationResponseAt = now
 }
 
-// LastConfigurationAnswer returns when the store last completed a call for the configuration,
+// LastConfigurationResponse returns when the store last completed a call for the configuration,
 // or when the node started. It does not advance on a node that relies on its relay node for the
 // configuration.
-func (d *Directory) LastConfigurationAnswer() time.Time {
+func (d *Directory) LastConfigurationResponse() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.configurationAnsweredAt
+	return d.configurationResponseAt
 }
 
 // ApplyConfiguration applies a configuration from the store or a peer unless it is older than the
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -72,9 +72,9 @@
 	mu               sync.Mutex
 	configuration    *serving.Configuration
 	configurationRow []byte
-	// configurationAnsweredAt is when the store last completed a configuration read or watch,
+	// configurationResponseAt is when the store last completed a configuration read or watch,
 	// changed or not, or when the node started.
-	configurationAnsweredAt time.Time
+	configurationResponseAt time.Time
 	endpoints               map[serving.EndpointID]*endpointRecord
 	// tableVersion is the version up to which the endpoint table is known, and tableVersionAt when
 	// it last rose.
@@ -143,7 +143,7 @@
 		log:       logging.For("directory"),
 		endpoints: map[serving.EndpointID]*endpointRecord{},
 
-		configurationAnsweredAt: time.Now(),
+		configurationResponseAt: time.Now(),
 	}
 	d.view.Store(buildView(nil, nil, nil))
 	return d
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -28,16 +28,16 @@
 	// down is set while the store does not respond; failures counts consecutive failed calls.
 	down     bool
 	failures int
-	// calledAt is when the last call started, answeredAt when one last got a response.
-	calledAt   time.Time
-	answeredAt time.Time
+	// calledAt is when the last call started, lastResponseAt when one last got a response.
+	calledAt       time.Time
+	lastResponseAt time.Time
 	// rows is the number of rows of the last call; skipped is set when it was left out.
 	rows    int
 	skipped bool
 }
 
 func (f *follower) run(ctx context.Context) {
-	f.answeredAt = time.Now()
+	f.lastResponseAt = time.Now()
 	for ctx.Err() == nil {
 		f.calledAt = time.Now()
 		err := f.step(ctx)
@@ -106,13 +106,13 @@
 		return
 	}
 	now := time.Now()
-	before := f.answeredAt
+	before := f.lastResponseAt
 	down := err != nil && !errors.Is(err, table.ErrHistoryGone)
 	if down {
 		f.failures++
 	} else {
 		f.failures = 0
-		f.answeredAt = now
+		f.lastResponseAt = now
 	}
 	if down == f.down {
 		return
--- a/internal/directory/suspension.go
+++ b/internal/directory/suspension.go
@@ -11,7 +11,7 @@
 func (d *Directory) HandleSuspension(duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, at := range []*time.Time{&d.configurationAnsweredAt, &d.tableVersionAt, &d.resumedAt} {
+	for _, at := range []*time.Time{&d.configurationResponseAt, &d.tableVersionAt, &d.resumedAt} {
 		clock.Backdate(at, duration)
 	}
 	for _, record := range d.endpoints {
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -113,7 +113,7 @@
 			return role.Wait || version > 0 && !role.Configuration
 		},
 		apply: func(rows []table.Row, _, _ uint64) {
-			w.Directory.recordConfigurationAnswer(time.Now())
+			w.Directory.recordConfigurationResponse(time.Now())
 			for _, row := range rows {
 				if row.Key == codec.ConfigurationKey && !row.Removed {
 					w.Directory.ApplyConfiguration(row.Value, "store")
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -137,7 +137,7 @@
 		StallAfter:  s.StallAfter,
 		MaxRequests: s.MaxRequests,
 	})
-	store.onAnswer = e.gossip.StoreAnswered
+	store.onResponse = e.gossip.StoreResponded
 	e.controller = groupcontrol.New(groupcontrol.Options{
 		Node:           incarnation,
 		Address:        s.Peers,
@@ -277,7 +277,7 @@
 	e.metrics.Set("endpoints_listed", float64(len(view.Endpoints)))
 	e.metrics.Set("endpoints_suspected", float64(len(e.gossip.Suspects())))
 	e.metrics.Set("configuration_version", float64(e.ConfigurationVersion()))
-	e.metrics.Set("configuration_answer_age_seconds", time.Since(e.directory.LastConfigurationAnswer()).Seconds())
+	e.metrics.Set("configuration_answer_age_seconds", time.Since(e.directory.LastConfigurationResponse()).Seconds())
 	budget := e.budget.Tightest(time.Now())
 	e.metrics.Set("retry_budget_repeats", float64(budget.Retries))
 	e.metrics.Set("retry_budget_allowed", budget.Allowed())
--- a/internal/entry/metered.go
+++ b/internal/entry/metered.go
@@ -15,15 +15,15 @@
 type meteredStore struct {
 	table.Store
 	metrics *metrics.Metrics
-	// onAnswer is called when the store has responded, even with an error.
-	onAnswer func(now time.Time)
+	// onResponse is called when the store has responded, even with an error.
+	onResponse func(now time.Time)
 }
 
 func (s *meteredStore) count(kind string, err error) {
 	outcome := outcomeOf(err)
 	s.metrics.Inc("store_calls", map[string]string{"kind": kind, "outcome": outcome})
 	if err == nil || errors.Is(err, table.ErrConflict) || errors.Is(err, table.ErrHistoryGone) {
-		s.onAnswer(time.Now())
+		s.onResponse(time.Now())
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -80,7 +80,7 @@
 		if event.Done {
 			c.recordSuccess()
 			c.finishChat()
-			return attemptAnswered
+			return attemptResponded
 		}
 		if len(event.Content) == 0 {
 			continue
@@ -89,7 +89,7 @@
 		if c.emit(event.Content) != nil {
 			c.cancelAttempt(target, attempt)
 			c.outcome = OutcomeCallerGone
-			return attemptAnswered
+			return attemptResponded
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrCallerGone) || errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
 		c.failContextDone(ctx)
-		return attemptAnswered
+		return attemptResponded
 	}
 	c.log.Info("an attempt failed", "attempt", attempt, "group", string(target.Group), "error", err, "cause", cause)
 	if notRun {
@@ -145,7 +145,7 @@
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, copyBuffer))
 	c.fail(errorResponse{response.StatusCode, "engine", string(text), OutcomeRan, 0})
-	return attemptAnswered
+	return attemptResponded
 }
 
 // forwardedHeader returns the caller's headers that are passed on to
@@ -327,7 +327,7 @@
 		if n > 0 && c.out.Write(buffer[:n]) != nil {
 			c.outcome = OutcomeCallerGone
 			c.out.Abort()
-			return attemptAnswered
+			return attemptResponded
 		}
 		if errors.Is(err, io.EOF) {
 			if showsEndpointSurvived(response) {
@@ -335,7 +335,7 @@
 			}
 			c.outcome = OutcomeServed
 			c.out.End()
-			return attemptAnswered
+			return attemptResponded
 		}
 		if err != nil {
 			// The status has been sent already, so closing the connection is
@@ -343,7 +343,7 @@
 			c.reportBroken(target)
 			c.outcome = OutcomeUnknown
 			c.out.Abort()
-			return attemptAnswered
+			return attemptResponded
 		}
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -200,8 +200,8 @@
 type attemptResult uint8
 
 const (
-	// attemptAnswered: the caller has its final response or has disconnected.
-	attemptAnswered attemptResult = iota
+	// attemptResponded: the caller has its final response or has disconnected.
+	attemptResponded attemptResult = iota
 	// attemptNotRun: the endpoint did not run the request.
 	attemptNotRun
 	// attemptBroken: the endpoint may have run it, and the response is
@@ -232,7 +232,7 @@
 			return
 		}
 		result := c.attempt(ctx, target)
-		if result == attemptAnswered {
+		if result == attemptResponded {
 			return
 		}
 		c.failed = append(c.failed, routing.Failure{Group: target.Group, Generation: target.Generation, At: time.Now()})
@@ -304,6 +304,6 @@
 		result = c.attemptPlain(ctx, target, attempt)
 	}
 	cancelled := errors.Is(context.Cause(ctx), ErrCallerGone) || errors.Is(context.Cause(ctx), errDeadline)
-	c.g.recordFinished(target.Group, time.Since(c.attemptStarted), result == attemptAnswered || cancelled)
+	c.g.recordFinished(target.Group, time.Since(c.attemptStarted), result == attemptResponded || cancelled)
 	return result
 }
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -106,9 +106,9 @@
 	unreachableDataCentres []serving.DataCentre
 	peerReports            relay.PeerReports
 	configuration          uint64
-	// answerBytes is the size of its last response to a call of this node.
-	answerBytes int
-	rows        uint64
+	// responseBytes is the size of its last response to a call of this node.
+	responseBytes int
+	rows          uint64
 	// observations is the version of its observations that this node has received,
 	// observationsSeen the version of this node's observations that it has acknowledged.
 	observations     uint64
@@ -336,7 +336,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p.calling = false
-	p.answerBytes = proto.Size(answer)
+	p.responseBytes = proto.Size(answer)
 	if err != nil {
 		p.lastFailed = time.Now()
 	}
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -283,12 +283,12 @@
 	for address := range s.peers {
 		delete(s.peers, address)
 	}
-	controller := &peer{id: "n1", dataCentre: "dc0", lastHeard: now, relays: true, localNodes: 100, answerBytes: 4 << 10}
+	controller := &peer{id: "n1", dataCentre: "dc0", lastHeard: now, relays: true, localNodes: 100, responseBytes: 4 << 10}
 	s.peers["10.0.0.1:1"] = controller
 	require.Equal(t, 396*time.Millisecond, s.callInterval(false))
-	controller.answerBytes = 16 << 10
+	controller.responseBytes = 16 << 10
 	require.Equal(t, 781250*time.Microsecond, s.callInterval(false))
-	controller.answerBytes = 40 << 10
+	controller.responseBytes = 40 << 10
 	require.Equal(t, maxRelayInterval, s.callInterval(false))
 	require.Less(t, 2*maxRelayInterval, loadTTL+time.Millisecond, "the last loads still count")
 	remote := &peer{id: "n2", dataCentre: "dc1", lastHeard: now, relays: true}
--- a/internal/gossip/permits.go
+++ b/internal/gossip/permits.go
@@ -75,7 +75,7 @@
 		return nil, oops.In("throttle").Wrap(err)
 	case self:
 		inc, knownLimit := throttle.FromWire(q.GetAdvisory(), now)
-		return toPermitAnswer(inc, g.throttle.Allocate(inc, knownLimit, now), now), nil
+		return toPermitResponse(inc, g.throttle.Allocate(inc, knownLimit, now), now), nil
 	case q.GetHops() >= maxHops:
 		return nil, oops.In("throttle").Wrap(errNoAllocator)
 	}
@@ -83,8 +83,8 @@
 	return g.client.AcquirePermit(ctx, address, forwarded)
 }
 
-// toPermitAnswer encodes a permit; its wait is rounded up to a millisecond.
-func toPermitAnswer(inc serving.Incarnation, a throttle.Permit, now time.Time) *sharepb.PermitAnswer {
+// toPermitResponse encodes a permit; its wait is rounded up to a millisecond.
+func toPermitResponse(inc serving.Incarnation, a throttle.Permit, now time.Time) *sharepb.PermitAnswer {
 	return &sharepb.PermitAnswer{
 		Granted:  a.Granted,
 		WaitMs:   uint32((a.Wait + time.Millisecond - 1) / time.Millisecond),
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -206,7 +206,7 @@
 		}
 	}
 	interval := scaleInterval(relayInterval, nodes-1, max(1, g.config.FullRateNodes))
-	return min(maxRelayInterval, max(interval, byteRateInterval(nodes, g.maxAnswerBytes())))
+	return min(maxRelayInterval, max(interval, byteRateInterval(nodes, g.maxResponseBytes())))
 }
 
 // byteRateInterval returns the interval at which a relay that sends a number of bytes to each of
@@ -215,13 +215,13 @@
 	return time.Duration(nodes*bytes) * time.Second / maxRelayBytesPerSecond
 }
 
-// maxAnswerBytes returns the size of the largest of the relays' last responses; the caller holds
+// maxResponseBytes returns the size of the largest of the relays' last responses; the caller holds
 // the lock.
-func (g *Gossiper) maxAnswerBytes() int {
+func (g *Gossiper) maxResponseBytes() int {
 	largest := 0
 	for _, p := range g.peers {
 		if p.relays {
-			largest = max(largest, p.answerBytes)
+			largest = max(largest, p.responseBytes)
 		}
 	}
 	return largest
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -106,8 +106,8 @@
 	return dataCentre == g.config.DataCentre && g.controls()
 }
 
-// StoreAnswered records that the store has responded to this node.
-func (g *Gossiper) StoreAnswered(now time.Time) {
+// StoreResponded records that the store has responded to this node.
+func (g *Gossiper) StoreResponded(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.storeSeen = now
--- a/internal/throttle/cooldown_test.go
+++ b/internal/throttle/cooldown_test.go
@@ -10,8 +10,8 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// cooldownAnswer returns a response that requests a cooldown.
-func cooldownAnswer(span time.Duration) advisory.Observation {
+// cooldownResponse returns a response that requests a cooldown.
+func cooldownResponse(span time.Duration) advisory.Observation {
 	return advisory.Observation{Endpoint: endpoint.Incarnation(), Statement: advisory.Statement{Cooldown: advisory.Advertised[time.Duration]{Value: span}}}
 }
 
@@ -19,14 +19,14 @@
 	tracker := NewTracker(Options{})
 	now := time.Now()
 	at := func(seconds float64) time.Time { return now.Add(time.Duration(seconds * float64(time.Second))) }
-	tracker.Observe(cooldownAnswer(3*time.Second), now)
+	tracker.Observe(cooldownResponse(3*time.Second), now)
 	// Neither a shorter cooldown nor a response without one shortens it.
-	tracker.Observe(cooldownAnswer(100*time.Millisecond), at(1))
+	tracker.Observe(cooldownResponse(100*time.Millisecond), at(1))
 	tracker.Observe(advisory.Observation{Endpoint: endpoint.Incarnation(), Sent: at(1.5)}, at(2))
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, at(2.99)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, at(3.26)), "jitter is bounded")
 
-	tracker.Observe(cooldownAnswer(3*time.Second), at(2))
+	tracker.Observe(cooldownResponse(3*time.Second), at(2))
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, at(4.99)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, at(5.26)))
 	require.Equal(t, HoldNone, tracker.Hold(&serving.Endpoint{ID: "other"}, at(4)))
@@ -35,7 +35,7 @@
 func TestCooldown_SurvivesEndpointRestart(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	tracker.Observe(cooldownAnswer(3*time.Second), now)
+	tracker.Observe(cooldownResponse(3*time.Second), now)
 	next := *endpoint
 	next.StartedAt++
 	tracker.Forget(map[serving.EndpointID]*serving.Endpoint{next.ID: &next}, now.Add(time.Second))
@@ -48,7 +48,7 @@
 func TestCooldown_ElapsesDuringSuspension(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	tracker.Observe(cooldownAnswer(10*time.Second), now)
+	tracker.Observe(cooldownResponse(10*time.Second), now)
 	tracker.HandleSuspension(8 * time.Second)
 	require.Equal(t, HoldCooldown, tracker.Hold(endpoint, now.Add(1900*time.Millisecond)))
 	require.Equal(t, HoldNone, tracker.Hold(endpoint, now.Add(2300*time.Millisecond)))
@@ -60,9 +60,9 @@
 	other := &serving.Endpoint{ID: "other"}
 	both := []*serving.Endpoint{endpoint, other}
 	require.Zero(t, tracker.CooldownRetryAfter(both, now))
-	tracker.Observe(cooldownAnswer(3*time.Second), now)
+	tracker.Observe(cooldownResponse(3*time.Second), now)
 	require.InDelta(t, 3*time.Second, tracker.CooldownRetryAfter(both, now), float64(maxCooldownJitter))
-	o := cooldownAnswer(time.Second)
+	o := cooldownResponse(time.Second)
 	o.Endpoint = other.Incarnation()
 	tracker.Observe(o, now)
 	require.InDelta(t, time.Second, tracker.CooldownRetryAfter(both, now), float64(maxCooldownJitter))
--- a/internal/throttle/draining_test.go
+++ b/internal/throttle/draining_test.go
@@ -12,8 +12,8 @@
 	"github.com/ridgehinge/ridgehinge/pkg/serving"
 )
 
-// drainingAnswer returns a response from a draining endpoint.
-func drainingAnswer(inc serving.Incarnation) advisory.Observation {
+// drainingResponse returns a response from a draining endpoint.
+func drainingResponse(inc serving.Incarnation) advisory.Observation {
 	return advisory.Observation{Endpoint: inc, Statement: advisory.Statement{Draining: advisory.Advertised[bool]{Value: true}}}
 }
 
@@ -21,8 +21,8 @@
 	calls := 0
 	tracker := NewTracker(Options{OnDraining: func() { calls++ }})
 	now := time.Now()
-	tracker.Observe(drainingAnswer(endpoint.Incarnation()), now)
-	tracker.Observe(drainingAnswer(endpoint.Incarnation()), now)
+	tracker.Observe(drainingResponse(endpoint.Incarnation()), now)
+	tracker.Observe(drainingResponse(endpoint.Incarnation()), now)
 	require.Equal(t, 1, calls)
 	// A response without the mark may have been in flight before; it does not clear it.
 	tracker.Observe(advisory.Observation{Endpoint: endpoint.Incarnation(), Sent: now.Add(time.Second)}, now.Add(2*time.Second))
@@ -39,7 +39,7 @@
 func TestDraining_OutlivesRemovedRow(t *testing.T) {
 	tracker := NewTracker(Options{})
 	now := time.Now()
-	tracker.Observe(drainingAnswer(endpoint.Incarnation()), now)
+	tracker.Observe(drainingResponse(endpoint.Incarnation()), now)
 	tracker.Forget(nil, now.Add(time.Minute))
 	require.True(t, tracker.Draining(endpoint.Incarnation()))
 	tracker.Forget(map[serving.EndpointID]*serving.Endpoint{endpoint.ID: endpoint}, now.Add(2*time.Minute))
@@ -52,7 +52,7 @@
 func TestDelta_SendsDrainingMarks(t *testing.T) {
 	a, b, fresh := NewTracker(Options{}), NewTracker(Options{}), NewTracker(Options{})
 	now := time.Now()
-	a.Observe(drainingAnswer(endpoint.Incarnation()), now)
+	a.Observe(drainingResponse(endpoint.Incarnation()), now)
 	// Clearing a limit does not clear the mark.
 	a.SetLimit(endpoint.Incarnation(), 2, now.Add(time.Second))
 	a.ClearLimit(endpoint.Incarnation(), now.Add(2*time.Second), now.Add(3*time.Second))
@@ -68,7 +68,7 @@
 func TestRegistry_BoundsDrainingMarks(t *testing.T) {
 	tracker := NewTracker(Options{})
 	for i := range 10_000 {
-		tracker.Observe(drainingAnswer(serving.Incarnation{ID: serving.EndpointID(fmt.Sprint(i))}), time.Now())
+		tracker.Observe(drainingResponse(serving.Incarnation{ID: serving.EndpointID(fmt.Sprint(i))}), time.Now())
 	}
 	require.EqualValues(t, 4096, tracker.draining.Load())
 }
